--- a/components/gateway/src/beliefs.rs
+++ b/components/gateway/src/beliefs.rs
@@ -6,7 +6,7 @@
 use utils::{ModelId, Monotonic};
 
 use crate::ports::{DeclaredRecord, Decode, Record, Snapshot, Table, UnusableRecord};
-use crate::quarantine::{CRASHES_TO_QUARANTINE, Fingerprint, MEMORY};
+use crate::quarantine::{CRASH_RETENTION, CRASHES_TO_QUARANTINE, Fingerprint};
 use crate::rows::{Rows, Told};
 use crate::view::{HostEntry, Named, View};
 use crate::{Declared, Target};
@@ -178,7 +178,10 @@
 
     /// Keys of crashes that are old enough to be forgotten.
     pub fn old_crashes(&self, now: Monotonic) -> Vec<String> {
-        let old = self.crashes.iter().filter(|(_, (_, at))| now >= *at + MEMORY);
+        let old = self
+            .crashes
+            .iter()
+            .filter(|(_, (_, at))| now >= *at + CRASH_RETENTION);
         old.map(|(key, _)| key.clone()).collect()
     }
 
--- a/components/gateway/src/control/follow.rs
+++ b/components/gateway/src/control/follow.rs
@@ -8,7 +8,7 @@
 use crate::Learned;
 use crate::jitter::jittered;
 use crate::ports::{Changes, Snapshot, StoreError, Table};
-use crate::telemetry::Standing;
+use crate::telemetry::GaugeValues;
 
 /// Longest wait of the store for a change: a connection that has gone silent is noticed after it.
 const FOLLOW_WAIT: Duration = Duration::from_millis(3_000);
@@ -43,7 +43,7 @@
         control.note_store(heard.is_ok());
         let now = control.traffic.now();
         if heard.is_ok() && table == Table::Declared {
-            control.traffic.kept().note_declared(now);
+            control.traffic.kept().record_declared(now);
         }
         match heard {
             Ok(Heard::Whole(snapshot)) => {
@@ -100,11 +100,11 @@
             beliefs.tick(now);
             Vec::new()
         });
-        control.traffic.clean();
+        control.traffic.remove_stale();
         let view = control.traffic.view.load();
-        control.traffic.telemetry.standing(&Standing {
+        control.traffic.telemetry.record_gauges(&GaugeValues {
             store_age: control.beliefs().store_age(now),
-            open: control.traffic.open.load(Ordering::Acquire),
+            in_flight: control.traffic.in_flight.load(Ordering::Acquire),
             declared: view.declared.as_ref().map_or(0, |declared| declared.version),
             targets: view.targets.values().map(Vec::len).sum(),
             hosts: view.hosts.len(),
--- a/components/gateway/src/control/kept_news.rs
+++ b/components/gateway/src/control/kept_news.rs
@@ -13,7 +13,7 @@
 use super::stores::{declared_stores, region_of, watchers};
 use crate::View;
 use crate::jitter::jittered;
-use crate::kept::{KeptEvent, PartKey, StoreNews};
+use crate::kept::{KeptEvent, PartKey, StoreUpdate};
 
 /// Path on which hosts that follow stores of kept cache pass on what they hear.
 pub(super) const PATH: &str = "/kept";
@@ -54,7 +54,7 @@
     stores: Vec<(Arc<str>, PackedNews)>,
 }
 
-/// [`StoreNews`] with salts named by index.
+/// [`StoreUpdate`] with salts named by index.
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize)]
 struct PackedNews {
@@ -73,7 +73,7 @@
 }
 
 impl Salts {
-    fn pack(&mut self, news: StoreNews) -> PackedNews {
+    fn pack(&mut self, news: StoreUpdate) -> PackedNews {
         let events = news.events.into_iter().map(|event| {
             let KeptEvent { key, stored } = event;
             (self.index(key.salt), key.id, stored)
@@ -96,7 +96,7 @@
     }
 }
 
-fn unpack(packed: PackedNews, salts: &[Box<str>]) -> StoreNews {
+fn unpack(packed: PackedNews, salts: &[Box<str>]) -> StoreUpdate {
     let event = |(salt, id, stored): (u16, Box<str>, Option<u32>)| {
         let salt = salts.get(usize::from(salt))?.clone();
         Some(KeptEvent {
@@ -104,7 +104,7 @@
             stored,
         })
     };
-    StoreNews {
+    StoreUpdate {
         epoch: packed.epoch,
         age: packed.age,
         is_all: packed.is_all,
@@ -130,7 +130,7 @@
             continue;
         }
         let number = from.and_then(|cursor| cursor.numbers.get(&store.address));
-        let (news, end) = kept.store(&store.address).news_since(number.copied(), now);
+        let (news, end) = kept.store(&store.address).update_since(number.copied(), now);
         next.numbers.insert(store.address.clone(), end);
         stores.push((store.address, salts.pack(news)));
     }
@@ -202,11 +202,11 @@
         let now = control.traffic.now();
         let mut kept = control.traffic.kept();
         if let Some(clock_ms) = answer.clock_ms {
-            kept.note_clock(clock_ms, now);
+            kept.record_clock(clock_ms, now);
         }
         for (address, news) in answer.stores {
             kept.store(&address)
-                .take_news(unpack(news, &answer.salts), asked_at, now);
+                .apply_update(unpack(news, &answer.salts), asked_at, now);
         }
         true
     }
--- a/components/gateway/src/control/loads.rs
+++ b/components/gateway/src/control/loads.rs
@@ -81,7 +81,7 @@
     }
     let now = control.traffic.now();
     control.reports().insert(target.run.clone(), (report.load, now));
-    control.traffic.note_report(&target.run, report.load, now);
+    control.traffic.record_report(&target.run, report.load, now);
 }
 
 /// Learns from the hosts that ask engines what these reported.
@@ -107,7 +107,7 @@
                 for (run, load, age) in answer.into_iter().flat_map(|answer| answer.reports) {
                     control
                         .traffic
-                        .note_report(&run, load, asked_at.saturating_sub(age));
+                        .record_report(&run, load, asked_at.saturating_sub(age));
                 }
             })
         });
--- a/components/gateway/src/control/stores.rs
+++ b/components/gateway/src/control/stores.rs
@@ -7,7 +7,7 @@
 use utils::{HostId, RegionId};
 
 use super::Control;
-use crate::kept::{PartKey, REPLACED_SETTLED_AFTER, weights_of_salt};
+use crate::kept::{OLD_WEIGHTS_DROP_DELAY, PartKey, weights_of_salt};
 use crate::view::Named;
 use crate::{StoreSpec, View, does_alone};
 
@@ -79,7 +79,7 @@
             .flatten();
         log_run(&control, &store, std::mem::replace(&mut run, heard), heard);
         if !is_heard {
-            control.traffic.kept().store(&store.address).forget();
+            control.traffic.kept().store(&store.address).clear();
             smol::Timer::after(SILENT_PAUSE).await;
             continue;
         }
@@ -120,7 +120,7 @@
             .traffic
             .kept()
             .store(&store.address)
-            .take_list(list, asked_at, now);
+            .apply_list(list, asked_at, now);
         return true;
     }
     let Ok(changes) = control.stores.changes(&store.address, next, CHANGE_WAIT).await else {
@@ -129,9 +129,9 @@
     let now = control.traffic.now();
     let mut kept = control.traffic.kept();
     if let Some(clock_ms) = changes.clock_ms {
-        kept.note_clock(clock_ms, now);
+        kept.record_clock(clock_ms, now);
     }
-    kept.store(&store.address).take_changes(changes, asked_at, now);
+    kept.store(&store.address).apply_changes(changes, asked_at, now);
     true
 }
 
@@ -158,7 +158,7 @@
     {
         info!(control.traffic.log, "dropped cache of old weights"; events::KEPT_DROPPED,
             "store" => &*store.address, "parts" => old.len());
-        control.traffic.kept().store(&store.address).note_dropped(&old);
+        control.traffic.kept().store(&store.address).record_dropped(&old);
     }
 }
 
@@ -167,11 +167,11 @@
     let now = control.traffic.now();
     let mut kept = control.traffic.kept();
     let known = kept.store(&store.address);
-    let since = known.known_since()?;
+    let since = known.run_since()?;
     let is_settled = |named: &Named, weights: u64| {
         let replaced_at = named.replaced_at(weights);
         // What was replaced before this host started was so at the latest when it first heard of the store.
-        replaced_at.is_some_and(|at| now >= at.unwrap_or(since) + REPLACED_SETTLED_AFTER)
+        replaced_at.is_some_and(|at| now >= at.unwrap_or(since) + OLD_WEIGHTS_DROP_DELAY)
     };
     let is_old = |key: &&PartKey| {
         view.weights.iter().any(|(model, named)| {
--- a/components/gateway/src/daemon.rs
+++ b/components/gateway/src/daemon.rs
@@ -16,7 +16,7 @@
 
 use crate::control::Control;
 use crate::ports::{Decode, EngineControl, Heads, KeptStores, RecordStore};
-use crate::traffic::{Leaving, Traffic, serve};
+use crate::traffic::{DrainSchedule, Traffic, serve};
 use crate::{GatewayError, HostSettings};
 
 /// Longest silence of a caller's connection.
@@ -131,13 +131,16 @@
     pub fn drain(self) -> Result<(), Report<GatewayError>> {
         let traffic = &self.traffic;
         let log = traffic.log.clone();
-        info!(log, "draining"; events::DRAIN_STARTED, "open" => traffic.open.load(Ordering::Acquire));
+        info!(log, "draining"; events::DRAIN_STARTED, "open" => traffic.in_flight.load(Ordering::Acquire));
         let grace = traffic.settings.bounds.shutdown_grace;
         let started = traffic.now();
         let ends_at = started + grace.saturating_sub(ENDING);
-        let picky_from = started + grace.mul_f64(TAKING_PART);
-        traffic.leave(Leaving { picky_from, ends_at });
-        std::thread::sleep(picky_from.saturating_sub(traffic.now()));
+        let limited_from = started + grace.mul_f64(TAKING_PART);
+        traffic.begin_drain(DrainSchedule {
+            limited_from,
+            ends_at,
+        });
+        std::thread::sleep(limited_from.saturating_sub(traffic.now()));
         drop(self.stop_kept);
         wait_for_work(traffic, ends_at);
         drop(self.stop_traffic);
@@ -156,7 +159,7 @@
 /// Waits until nothing is open, at most until the last moment to close connections in order.
 fn wait_for_work(traffic: &Traffic, ends_at: Monotonic) {
     let last = ends_at.saturating_sub(CLOSING);
-    while traffic.now() < last && traffic.open.load(Ordering::Acquire) > 0 {
+    while traffic.now() < last && traffic.in_flight.load(Ordering::Acquire) > 0 {
         std::thread::sleep(DRAIN_STEP);
     }
 }
--- a/components/gateway/src/kept.rs
+++ b/components/gateway/src/kept.rs
@@ -6,9 +6,9 @@
 mod plan;
 mod salt;
 
-pub use directory::{KeptEvent, PartKey, StoreChanges, StoreDirectory, StoreList, StoreNews};
-pub(crate) use plan::REPLACED_SETTLED_AFTER;
-pub(crate) use plan::stores_near;
-pub use plan::{CachePlan, KeptCache, PlanRequest, StoreAt};
-pub(crate) use salt::wall_of;
+pub use directory::{KeptEvent, PartKey, StoreChanges, StoreDirectory, StoreList, StoreUpdate};
+pub(crate) use plan::OLD_WEIGHTS_DROP_DELAY;
+pub(crate) use plan::region_stores;
+pub use plan::{CachePlan, KeptCache, PlanRequest, RegionStore};
+pub(crate) use salt::cache_scope;
 pub use salt::{salt_of, weights_of_salt};
--- a/components/gateway/src/kept/directory.rs
+++ b/components/gateway/src/kept/directory.rs
@@ -4,17 +4,17 @@
 use serde::{Deserialize, Serialize};
 use utils::Monotonic;
 
-use super::plan::FETCH_TIME;
+use super::plan::FETCH_TIMEOUT;
 
 /// Age up to which what a store has said is relied upon. Covers the store's longest wait, the pauses between questions to it and
 /// to the host that passes its changes on, and a lost packet.
-pub(crate) const RELIED_ON_FOR: Duration = Duration::from_millis(3_500);
+pub(crate) const MAX_CONFIRMED_AGE: Duration = Duration::from_millis(3_500);
 /// Time after which no fetch is under way any more that relies on what a store held before it was away.
-pub(crate) const SETTLED_AFTER: Duration = Duration::from_millis(500)
-    .saturating_add(RELIED_ON_FOR)
-    .saturating_add(FETCH_TIME);
+pub(crate) const SAVE_DELAY_AFTER_RESTART: Duration = Duration::from_millis(500)
+    .saturating_add(MAX_CONFIRMED_AGE)
+    .saturating_add(FETCH_TIMEOUT);
 /// Changes that are remembered to be passed on; a host that is further behind gets all.
-const MOST_REMEMBERED: usize = 8_192;
+const MAX_LOG_EVENTS: usize = 8_192;
 
 /// Names a part under a salt.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -65,7 +65,7 @@
 /// What a host that follows a store passes on to one that does not.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct StoreNews {
+pub struct StoreUpdate {
     /// Run of the store; `None` while it does not answer.
     pub epoch: Option<u64>,
     /// Time since the store was asked for what is told here.
@@ -115,25 +115,25 @@
     }
 
     /// When this host first heard of the store's run.
-    pub fn known_since(&self) -> Option<Monotonic> {
+    pub fn run_since(&self) -> Option<Monotonic> {
         self.run.map(|(_, since)| since)
     }
 
     /// Whether parts may be saved: a host that has not noticed a restart yet could fetch what is just being written.
-    pub fn takes_saves(&self, now: Monotonic) -> bool {
+    pub fn accepts_saves(&self, now: Monotonic) -> bool {
         let is_settled = self
-            .known_since()
-            .is_some_and(|since| now >= since + SETTLED_AFTER);
-        is_settled && self.is_relied_on(now)
+            .run_since()
+            .is_some_and(|since| now >= since + SAVE_DELAY_AFTER_RESTART);
+        is_settled && self.is_fresh(now)
     }
 
     /// Whether the store is known to hold a part whole.
     pub fn holds(&self, key: &PartKey, now: Monotonic) -> bool {
-        self.is_relied_on(now) && self.parts.contains_key(key)
+        self.is_fresh(now) && self.parts.contains_key(key)
     }
 
-    fn is_relied_on(&self, now: Monotonic) -> bool {
-        now < self.confirmed_at + RELIED_ON_FOR
+    fn is_fresh(&self, now: Monotonic) -> bool {
+        now < self.confirmed_at + MAX_CONFIRMED_AGE
     }
 
     /// Parts that the store holds.
@@ -147,7 +147,7 @@
     }
 
     /// The store did not answer: it may have restarted since, so nothing that it held counts.
-    pub fn forget(&mut self) {
+    pub fn clear(&mut self) {
         *self = Self {
             // Beyond all numbers that were told, so that every host asks for all.
             log_start: self.log_end() + 1,
@@ -156,11 +156,11 @@
     }
 
     /// Takes changes that the store was asked for at a moment.
-    pub fn take_changes(&mut self, changes: StoreChanges, asked_at: Monotonic, now: Monotonic) {
+    pub fn apply_changes(&mut self, changes: StoreChanges, asked_at: Monotonic, now: Monotonic) {
         self.confirmed_at = asked_at;
         if self.epoch() != Some(changes.epoch) {
             let is_first = self.run.is_none() && self.next == 0;
-            self.forget();
+            self.clear();
             self.confirmed_at = asked_at;
             self.run = Some((changes.epoch, now));
             if !is_first {
@@ -170,14 +170,14 @@
         self.needs_list |= changes.has_gap;
         self.next = changes.next;
         for event in changes.events {
-            self.take_event(event);
+            self.apply_event(event);
         }
     }
 
     /// Takes a list that the store was asked for at a moment.
-    pub fn take_list(&mut self, list: StoreList, asked_at: Monotonic, now: Monotonic) {
+    pub fn apply_list(&mut self, list: StoreList, asked_at: Monotonic, now: Monotonic) {
         let run = self.run.filter(|(epoch, _)| *epoch == list.epoch);
-        self.forget();
+        self.clear();
         self.run = run.or(Some((list.epoch, now)));
         self.confirmed_at = asked_at;
         self.next = list.next;
@@ -187,9 +187,9 @@
     }
 
     /// Parts that this host has had dropped.
-    pub fn note_dropped(&mut self, keys: &[PartKey]) {
+    pub fn record_dropped(&mut self, keys: &[PartKey]) {
         for key in keys {
-            self.take_event(KeptEvent {
+            self.apply_event(KeptEvent {
                 key: key.clone(),
                 stored: None,
             });
@@ -197,38 +197,38 @@
     }
 
     /// What a host lacks that was told all changes before a number, or nothing yet; and the number to ask from next.
-    pub fn news_since(&self, number: Option<u64>, now: Monotonic) -> (StoreNews, u64) {
+    pub fn update_since(&self, number: Option<u64>, now: Monotonic) -> (StoreUpdate, u64) {
         let skipped = number.and_then(|number| number.checked_sub(self.log_start));
         let events = match skipped {
             Some(skipped) => self.log.iter().skip(skipped as usize).cloned().collect(),
-            None => self.all(),
+            None => self.snapshot(),
         };
-        let news = StoreNews {
+        let update = StoreUpdate {
             epoch: self.epoch(),
             age: now.saturating_sub(self.confirmed_at),
             is_all: skipped.is_none(),
             events,
         };
-        (news, self.log_end())
+        (update, self.log_end())
     }
 
     /// Takes what another host passed on, which was asked at a moment.
-    pub fn take_news(&mut self, news: StoreNews, asked_at: Monotonic, now: Monotonic) {
-        let Some(epoch) = news.epoch else {
-            return self.forget();
+    pub fn apply_update(&mut self, update: StoreUpdate, asked_at: Monotonic, now: Monotonic) {
+        let Some(epoch) = update.epoch else {
+            return self.clear();
         };
         let run = self.run.filter(|(known, _)| *known == epoch);
-        if news.is_all {
-            self.forget();
+        if update.is_all {
+            self.clear();
         }
         self.run = run.or(Some((epoch, now)));
-        self.confirmed_at = asked_at.saturating_sub(news.age);
-        for event in news.events {
-            self.take_event(event);
+        self.confirmed_at = asked_at.saturating_sub(update.age);
+        for event in update.events {
+            self.apply_event(event);
         }
     }
 
-    fn all(&self) -> Vec<KeptEvent> {
+    fn snapshot(&self) -> Vec<KeptEvent> {
         let event = |(key, tokens): (&PartKey, &u32)| KeptEvent {
             key: key.clone(),
             stored: Some(*tokens),
@@ -240,13 +240,13 @@
         self.log_start + self.log.len() as u64
     }
 
-    fn take_event(&mut self, event: KeptEvent) {
+    fn apply_event(&mut self, event: KeptEvent) {
         match event.stored {
             Some(tokens) => self.add(event.key.clone(), tokens),
             None => self.remove(&event.key),
         }
         self.log.push_back(event);
-        if self.log.len() > MOST_REMEMBERED {
+        if self.log.len() > MAX_LOG_EVENTS {
             self.log.pop_front();
             self.log_start += 1;
         }
--- a/components/gateway/src/kept/plan.rs
+++ b/components/gateway/src/kept/plan.rs
@@ -8,28 +8,28 @@
 use crate::PromptShape;
 
 /// Time after which a save that was not reported whole is tried again.
-const SAVE_AGAIN_AFTER: Duration = Duration::from_secs(4);
+const SAVE_RETRY_DELAY: Duration = Duration::from_secs(4);
 /// Shortest part that is worth a transfer.
-const MIN_TOKENS: u32 = 64;
+const MIN_PART_TOKENS: u32 = 64;
 /// Longest time for a fetch to end; the prompt is read instead after it.
-pub(crate) const FETCH_TIME: Duration = Duration::from_millis(700);
+pub(crate) const FETCH_TIMEOUT: Duration = Duration::from_millis(700);
 /// Age up to which what is declared is relied upon for fetches. Covers the longest wait of the platform's store for a change.
-const DECLARED_RELIED_ON_FOR: Duration = Duration::from_millis(4_000);
+const MAX_DECLARED_AGE: Duration = Duration::from_millis(4_000);
 /// Time after weights were named after which nobody fetches any more what older ones have made: hosts that know of the new ones
 /// don't, nor do those that have not heard from the platform's store for so long.
-pub(crate) const REPLACED_SETTLED_AFTER: Duration = Duration::from_millis(700)
-    .saturating_add(DECLARED_RELIED_ON_FOR)
-    .saturating_add(FETCH_TIME);
+pub(crate) const OLD_WEIGHTS_DROP_DELAY: Duration = Duration::from_millis(700)
+    .saturating_add(MAX_DECLARED_AGE)
+    .saturating_add(FETCH_TIMEOUT);
 /// Saves remembered before old ones are forgotten.
-const MOST_SAVES: usize = 20_000;
+const MAX_REMEMBERED_SAVES: usize = 20_000;
 
 /// A store as it is declared.
 #[derive(Debug, Clone, PartialEq)]
-pub struct StoreAt {
+pub struct RegionStore {
     /// Its address.
     pub address: Arc<str>,
     /// Whether it stands in the engine's failure domain.
-    pub is_near: bool,
+    pub is_same_domain: bool,
     /// Tokens that it holds.
     pub capacity_tokens: u64,
 }
@@ -53,12 +53,12 @@
     /// Its salt.
     pub salt: &'a str,
     /// Stores in the engine's region.
-    pub stores: &'a [StoreAt],
+    pub stores: &'a [RegionStore],
     /// An engine in the region that is likely to hold the prompt, if it is not the one chosen.
-    pub home: Option<&'a Arc<str>>,
+    pub owner: Option<&'a Arc<str>>,
     /// Whether the engine has the newest weights; what replaced weights made is neither saved nor fetched from a store, so that
     /// it can be dropped soon.
-    pub is_current: bool,
+    pub has_newest_weights: bool,
 }
 
 /// What this host knows of all stores.
@@ -67,11 +67,11 @@
     /// Directories by address.
     stores: HashMap<Arc<str>, StoreDirectory>,
     /// When saves were asked for.
-    saves: HashMap<PartKey, Monotonic>,
+    recent_saves: HashMap<PartKey, Monotonic>,
     /// The servers' clock less the own one, in milliseconds.
     clock_offset_ms: Option<i64>,
     /// When the platform's store last answered what is declared.
-    declared_at: Option<Monotonic>,
+    declared_confirmed_at: Option<Monotonic>,
 }
 
 impl KeptCache {
@@ -81,8 +81,8 @@
     }
 
     /// The platform's store has answered what is declared.
-    pub fn note_declared(&mut self, now: Monotonic) {
-        self.declared_at = Some(now);
+    pub fn record_declared(&mut self, now: Monotonic) {
+        self.declared_confirmed_at = Some(now);
     }
 
     /// The servers' clock at a moment, if it was heard of.
@@ -92,7 +92,7 @@
     }
 
     /// Takes the servers' clock.
-    pub fn note_clock(&mut self, clock_ms: u64, now: Monotonic) {
+    pub fn record_clock(&mut self, clock_ms: u64, now: Monotonic) {
         self.clock_offset_ms = Some(clock_ms as i64 - now.as_millis() as i64);
     }
 
@@ -102,12 +102,18 @@
     }
 
     /// Whether a store of the list holds the session's part, made by weights that are the newest.
-    pub fn is_kept(&self, prompt: &PromptShape, salt: &str, stores: &[StoreAt], now: Monotonic) -> bool {
+    pub fn is_stored(
+        &self,
+        prompt: &PromptShape,
+        salt: &str,
+        stores: &[RegionStore],
+        now: Monotonic,
+    ) -> bool {
         let Some(part) = prompt.session() else {
             return false;
         };
         let key = key_of(salt, &part.id);
-        self.holder(&key, stores, now).is_some()
+        self.store_with(&key, stores, now).is_some()
     }
 
     /// What a request fetches and saves. Parts come from a store that holds them whole, else from the engine that is
@@ -117,66 +123,85 @@
         // The last part is the request's own and does not return.
         let shared = req.prompt.parts.len().saturating_sub(1);
         for (i, part) in req.prompt.parts.iter().enumerate() {
-            let is_worth = i < shared && part.tokens >= MIN_TOKENS;
+            let is_worth_transfer = i < shared && part.tokens >= MIN_PART_TOKENS;
             let key = key_of(req.salt, &part.id);
-            let holder = self.holder(&key, req.stores, now).filter(|_| req.is_current);
-            let holder = holder.cloned();
-            let is_kept = holder.is_some();
-            let fetch = holder.or_else(|| req.home.cloned()).filter(|_| is_worth);
-            let save =
-                (is_worth && !is_kept && req.is_current).then(|| self.choose_store(&key, req.stores, now));
+            let found = self
+                .store_with(&key, req.stores, now)
+                .filter(|_| req.has_newest_weights);
+            let found = found.cloned();
+            let is_stored = found.is_some();
+            let fetch = found.or_else(|| req.owner.cloned()).filter(|_| is_worth_transfer);
+            let save = (is_worth_transfer && !is_stored && req.has_newest_weights)
+                .then(|| self.choose_store(&key, req.stores, now));
             plan.fetch.push(fetch);
             plan.save.push(save.flatten());
         }
         if plan.fetch.iter().any(Option::is_some) {
-            plan.fetch_until_ms = self.clock_ms(now + FETCH_TIME);
+            plan.fetch_until_ms = self.clock_ms(now + FETCH_TIMEOUT);
         }
         plan
     }
 
     /// A store from which a part may be fetched: without the servers' clock a fetch could not be bounded, and a host that has not
     /// heard lately what is declared may not know that weights were replaced.
-    fn holder<'a>(&self, key: &PartKey, stores: &'a [StoreAt], now: Monotonic) -> Option<&'a Arc<str>> {
-        let is_informed = self
-            .declared_at
-            .is_some_and(|at| now < at + DECLARED_RELIED_ON_FOR);
-        if !is_informed || self.clock_offset_ms.is_none() {
+    fn store_with<'a>(
+        &self,
+        key: &PartKey,
+        stores: &'a [RegionStore],
+        now: Monotonic,
+    ) -> Option<&'a Arc<str>> {
+        let is_declared_fresh = self
+            .declared_confirmed_at
+            .is_some_and(|at| now < at + MAX_DECLARED_AGE);
+        if !is_declared_fresh || self.clock_offset_ms.is_none() {
             return None;
         }
-        let holds = |store: &&StoreAt| {
+        let holds = |store: &&RegionStore| {
             self.stores
                 .get(&store.address)
-                .is_some_and(|known| known.holds(key, now))
+                .is_some_and(|directory| directory.holds(key, now))
         };
-        let found = stores.iter().filter(holds).max_by_key(|store| store.is_near);
+        let found = stores
+            .iter()
+            .filter(holds)
+            .max_by_key(|store| store.is_same_domain);
         found.map(|store| &store.address)
     }
 
     /// The store for a part: near the engine, by capacity, the same on every host.
-    fn choose_store(&mut self, key: &PartKey, stores: &[StoreAt], now: Monotonic) -> Option<Arc<str>> {
-        if self.saves.get(key).is_some_and(|at| now < *at + SAVE_AGAIN_AFTER) {
+    fn choose_store(&mut self, key: &PartKey, stores: &[RegionStore], now: Monotonic) -> Option<Arc<str>> {
+        if self
+            .recent_saves
+            .get(key)
+            .is_some_and(|at| now < *at + SAVE_RETRY_DELAY)
+        {
             return None;
         }
-        let answers = |store: &&StoreAt| {
-            let known = self.stores.get(&store.address);
-            known.is_some_and(|known| known.takes_saves(now) && known.tokens() < store.capacity_tokens)
+        let has_room = |store: &&RegionStore| {
+            let directory = self.stores.get(&store.address);
+            directory.is_some_and(|directory| {
+                directory.accepts_saves(now) && directory.tokens() < store.capacity_tokens
+            })
         };
-        let near = stores.iter().filter(|store| store.is_near).filter(answers);
-        let any = stores.iter().filter(answers);
-        let weigh = |store: &&StoreAt| weight(key, store);
-        let by_weight = |a: &&StoreAt, b: &&StoreAt| weigh(a).total_cmp(&weigh(b));
+        let near = stores
+            .iter()
+            .filter(|store| store.is_same_domain)
+            .filter(has_room);
+        let any = stores.iter().filter(has_room);
+        let store_weight = |store: &&RegionStore| weight(key, store);
+        let by_weight = |a: &&RegionStore, b: &&RegionStore| store_weight(a).total_cmp(&store_weight(b));
         let found = near.max_by(by_weight).or_else(|| any.max_by(by_weight))?;
         let address = found.address.clone();
-        if self.saves.len() >= MOST_SAVES {
-            self.saves.retain(|_, at| now < *at + SAVE_AGAIN_AFTER);
+        if self.recent_saves.len() >= MAX_REMEMBERED_SAVES {
+            self.recent_saves.retain(|_, at| now < *at + SAVE_RETRY_DELAY);
         }
-        self.saves.insert(key.clone(), now);
+        self.recent_saves.insert(key.clone(), now);
         Some(address)
     }
 }
 
 /// Rendezvous hashing by capacity.
-fn weight(key: &PartKey, store: &StoreAt) -> f64 {
+fn weight(key: &PartKey, store: &RegionStore) -> f64 {
     let score = rendezvous_score(key.id.as_bytes(), &store.address);
     let unit = (score as f64 + 1.0) / (u64::MAX as f64 + 2.0);
     store.capacity_tokens as f64 / -unit.ln()
@@ -190,17 +215,17 @@
 }
 
 /// Stores in the region of an engine.
-pub(crate) fn stores_near<'a>(
+pub(crate) fn region_stores<'a>(
     stores: impl Iterator<Item = &'a crate::StoreSpec>,
     domain: &str,
     region_of: impl Fn(&str) -> Option<RegionId>,
-) -> Vec<StoreAt> {
+) -> Vec<RegionStore> {
     let region = region_of(domain);
     stores
         .filter(|store| region_of(&store.domain) == region)
-        .map(|store| StoreAt {
+        .map(|store| RegionStore {
             address: store.address.clone(),
-            is_near: *store.domain == *domain,
+            is_same_domain: *store.domain == *domain,
             capacity_tokens: store.capacity_tokens,
         })
         .collect()
--- a/components/gateway/src/kept/salt.rs
+++ b/components/gateway/src/kept/salt.rs
@@ -11,7 +11,7 @@
 /// assert_eq!(gateway::weights_of_salt("all/m/3", "n"), None);
 /// ```
 pub fn salt_of(workspace: Option<&Workspace>, model: &str, weights: u64) -> String {
-    let wall = wall_of(workspace);
+    let wall = cache_scope(workspace);
     format!("{wall}/{model}/{weights}")
 }
 
@@ -23,7 +23,7 @@
 }
 
 /// Who shares cache with a workspace.
-pub(crate) fn wall_of(workspace: Option<&Workspace>) -> &str {
+pub(crate) fn cache_scope(workspace: Option<&Workspace>) -> &str {
     workspace
         .filter(|workspace| workspace.is_isolated)
         .map_or(SHARED, |workspace| &workspace.name)
--- a/components/gateway/src/lib.rs
+++ b/components/gateway/src/lib.rs
@@ -26,7 +26,7 @@
 mod weights;
 
 pub use beliefs::{Beliefs, Learned};
-pub use budget::RetryShare;
+pub use budget::RetryBudget;
 pub use call::{AnswerFacts, CallFacts, LoadNote, PromptPart, PromptShape, SendFacts};
 pub use daemon::{Daemon, Parts};
 pub use declared::{
@@ -37,15 +37,15 @@
 pub use freshness::{OldWeights, old_weights};
 pub use host::{Bounds, HostSettings};
 pub use kept::{
-    CachePlan, KeptCache, KeptEvent, PartKey, PlanRequest, StoreAt, StoreChanges, StoreDirectory, StoreList,
-    StoreNews, salt_of, weights_of_salt,
+    CachePlan, KeptCache, KeptEvent, PartKey, PlanRequest, RegionStore, StoreChanges, StoreDirectory,
+    StoreList, StoreUpdate, salt_of, weights_of_salt,
 };
-pub use load::{LoadEstimate, Outcome, ReportedLoad, Work};
+pub use load::{LoadEstimate, ReportedLoad, SendOutcome, Work};
 pub use placement::{Candidate, Choice, Decision, Demand, decide};
 pub use quarantine::{Crash, Crashes, Fingerprint};
 pub use rows::Told;
 pub use sessions::{SessionKey, Sessions};
 pub use target::Target;
-pub use traffic::{EventCutter, Progress};
+pub use traffic::{EventSplitter, Progress};
 pub use view::{HostEntry, Named, Regions, View, does_alone};
 pub use weights::{LoadOrder, Rollout, RolloutInput, is_overdue};
--- a/components/gateway/src/quarantine.rs
+++ b/components/gateway/src/quarantine.rs
@@ -11,9 +11,9 @@
 /// Crashes with the same request aboard after which it runs no more.
 pub(crate) const CRASHES_TO_QUARANTINE: u32 = 2;
 /// Time after which a crash is forgotten.
-pub(crate) const MEMORY: Duration = Duration::from_secs(120);
+pub(crate) const CRASH_RETENTION: Duration = Duration::from_secs(120);
 /// Most requests remembered; the oldest are forgotten first.
-const MOST_REMEMBERED: usize = 4_096;
+const MAX_REMEMBERED: usize = 4_096;
 
 impl Fingerprint {
     /// The fingerprint of a request.
@@ -67,38 +67,38 @@
 #[derive(Debug, Default)]
 pub struct Crashes {
     /// Crashes and the time of the last one.
-    seen: HashMap<Fingerprint, (u32, Monotonic)>,
+    crashes: HashMap<Fingerprint, (u32, Monotonic)>,
 }
 
 impl Crashes {
     /// A target went down with the request aboard; says how often that happened.
-    pub fn note_crash(&mut self, fingerprint: Fingerprint, now: Monotonic) -> u32 {
-        self.forget(now);
-        let entry = self.seen.entry(fingerprint).or_insert((0, now));
+    pub fn record_crash(&mut self, fingerprint: Fingerprint, now: Monotonic) -> u32 {
+        self.evict(now);
+        let entry = self.crashes.entry(fingerprint).or_insert((0, now));
         *entry = (entry.0 + 1, now);
         entry.0
     }
 
     /// The request ended well.
-    pub fn note_success(&mut self, fingerprint: &Fingerprint) {
-        self.seen.remove(fingerprint);
+    pub fn record_success(&mut self, fingerprint: &Fingerprint) {
+        self.crashes.remove(fingerprint);
     }
 
     /// Whether the request is to run no more.
     pub fn is_quarantined(&self, fingerprint: &Fingerprint) -> bool {
-        self.seen
+        self.crashes
             .get(fingerprint)
             .is_some_and(|(crashes, _)| *crashes >= CRASHES_TO_QUARANTINE)
     }
 
-    fn forget(&mut self, now: Monotonic) {
-        self.seen.retain(|_, (_, at)| now < *at + MEMORY);
-        while self.seen.len() >= MOST_REMEMBERED {
-            let oldest = self.seen.iter().min_by_key(|(_, (_, at))| *at);
+    fn evict(&mut self, now: Monotonic) {
+        self.crashes.retain(|_, (_, at)| now < *at + CRASH_RETENTION);
+        while self.crashes.len() >= MAX_REMEMBERED {
+            let oldest = self.crashes.iter().min_by_key(|(_, (_, at))| *at);
             let Some(oldest) = oldest.map(|(f, _)| *f) else {
                 return;
             };
-            self.seen.remove(&oldest);
+            self.crashes.remove(&oldest);
         }
     }
 }
--- a/components/gateway/src/telemetry.rs
+++ b/components/gateway/src/telemetry.rs
@@ -26,13 +26,13 @@
     /// Time from a send to the first byte of its answer, in seconds.
     first_byte: Histogram<f64>,
     /// Repeats by whether the budget allowed them.
-    repeats: Counter<u64>,
+    retries: Counter<u64>,
     /// Calls to the platform's store by result.
     store_calls: Counter<u64>,
     /// Time since the platform's store last answered, in seconds.
     store_age: Gauge<f64>,
     /// Requests under way.
-    open: Gauge<u64>,
+    in_flight: Gauge<u64>,
     /// Version of the declarations that are obeyed.
     declared: Gauge<u64>,
     /// Targets that may be used.
@@ -45,11 +45,11 @@
 
 /// What a host is and believes, as its gauges show it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct Standing {
+pub(crate) struct GaugeValues {
     /// Time since the platform's store last answered.
     pub store_age: Duration,
     /// Requests under way.
-    pub open: usize,
+    pub in_flight: usize,
     /// Version of the declarations that are obeyed; 0 before the first.
     pub declared: u64,
     /// Targets that may be used.
@@ -100,10 +100,10 @@
             requests: meter.u64_counter("laburnumtally.route.requests").build(),
             sends: meter.u64_counter("laburnumtally.route.sends").build(),
             first_byte: first_byte.with_unit("s").build(),
-            repeats: meter.u64_counter("laburnumtally.route.repeats").build(),
+            retries: meter.u64_counter("laburnumtally.route.repeats").build(),
             store_calls: meter.u64_counter("laburnumtally.store.calls").build(),
             store_age: meter.f64_gauge("laburnumtally.store.age").with_unit("s").build(),
-            open: meter.u64_gauge("laburnumtally.route.open").build(),
+            in_flight: meter.u64_gauge("laburnumtally.route.open").build(),
             declared: meter.u64_gauge("laburnumtally.declared.version").build(),
             targets: meter.u64_gauge("laburnumtally.targets").build(),
             hosts: meter.u64_gauge("laburnumtally.hosts").build(),
@@ -123,9 +123,9 @@
     }
 
     /// The budget was asked for a repeat.
-    pub(crate) fn repeat(&self, is_allowed: bool) {
+    pub(crate) fn retry(&self, is_allowed: bool) {
         let result = if is_allowed { "allowed" } else { "refused" };
-        self.repeats.add(1, &[KeyValue::new("result", result)]);
+        self.retries.add(1, &[KeyValue::new("result", result)]);
     }
 
     /// The platform's store was called.
@@ -140,12 +140,12 @@
     }
 
     /// What the host is and believes now.
-    pub(crate) fn standing(&self, standing: &Standing) {
-        self.store_age.record(standing.store_age.as_secs_f64(), &[]);
-        self.open.record(standing.open as u64, &[]);
-        self.declared.record(standing.declared, &[]);
-        self.targets.record(standing.targets as u64, &[]);
-        self.hosts.record(standing.hosts as u64, &[]);
+    pub(crate) fn record_gauges(&self, values: &GaugeValues) {
+        self.store_age.record(values.store_age.as_secs_f64(), &[]);
+        self.in_flight.record(values.in_flight as u64, &[]);
+        self.declared.record(values.declared, &[]);
+        self.targets.record(values.targets as u64, &[]);
+        self.hosts.record(values.hosts as u64, &[]);
     }
 
     /// Where a request goes and why.
@@ -194,7 +194,7 @@
     }
 
     /// Other hosts are not told of a crash.
-    pub(crate) fn crash_untold(&self, id: &str) {
+    pub(crate) fn crash_not_shared(&self, id: &str) {
         warn!(self.log, "crash not told"; events::CRASH_UNTOLD, "request" => id);
     }
 
--- a/components/gateway/src/traffic/accept.rs
+++ b/components/gateway/src/traffic/accept.rs
@@ -18,13 +18,13 @@
 use crate::quarantine::Fingerprint;
 
 /// Time until the first token at a loaded engine.
-const LONGEST_READ: Duration = Duration::from_millis(1_500);
+const MAX_FIRST_TOKEN_TIME: Duration = Duration::from_millis(1_500);
 /// Time for each token at a loaded engine.
-const LONGEST_TOKEN: Duration = Duration::from_millis(20);
+const MAX_TIME_PER_TOKEN: Duration = Duration::from_millis(20);
 /// Wait before a request that came to a leaving host is worth a try at another.
-const LEAVING_WAIT: Duration = Duration::from_millis(100);
+const DRAINING_RETRY_AFTER: Duration = Duration::from_millis(100);
 /// Wait before a request that was aboard crashes is worth another try; it may be innocent.
-const QUARANTINE_WAIT: Duration = Duration::from_secs(5);
+const QUARANTINE_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 /// Checks a request and reads its body.
 pub(crate) async fn accept(
@@ -41,19 +41,19 @@
         declared,
     } = admit(&view, &parts, &facts)?;
     let wait = facts.deadline.unwrap_or(route.timeout).min(route.timeout);
-    let until = started + wait;
-    if !cx.can_finish(until.min(started + longest_run(&facts))) {
+    let deadline = started + wait;
+    if !cx.can_finish(deadline.min(started + max_run_time(&facts))) {
         let refusal = Refusal::not_run(ProblemKind::NotServing, "this host is about to end");
-        return Err(refusal.after(LEAVING_WAIT));
+        return Err(refusal.with_retry_after(DRAINING_RETRY_AFTER));
     }
     let body = read_body(body, declared.limits.body_bytes, wait).await?;
-    let service = draw_service(&route);
+    let service = choose_service(&route);
     let workspace_name = workspace.as_ref().map_or("", |w| &w.name);
     let target_uri = parts.uri.path_and_query().map_or("/", |p| p.as_str());
     let fingerprint = Fingerprint::of(target_uri, workspace_name, &body);
-    if view.quarantined.contains(&fingerprint) || cx.known().crashes.is_quarantined(&fingerprint) {
+    if view.quarantined.contains(&fingerprint) || cx.routing().crashes.is_quarantined(&fingerprint) {
         let detail = "targets that ran this request have crashed";
-        return Err(Refusal::not_run(ProblemKind::NoTarget, detail).after(QUARANTINE_WAIT));
+        return Err(Refusal::not_run(ProblemKind::NoTarget, detail).with_retry_after(QUARANTINE_RETRY_AFTER));
     }
     let malformed = Refusal::not_run(ProblemKind::MalformedRequest, "the path can not be read");
     Ok(Call {
@@ -67,24 +67,26 @@
         workspace,
         prompt: facts.prompt,
         last_event: facts.last_event,
-        until,
+        deadline,
         fingerprint,
     })
 }
 
 /// How long a request may take at a loaded engine, by the tokens that it may generate; unknown without.
-fn longest_run(facts: &CallFacts) -> Duration {
+fn max_run_time(facts: &CallFacts) -> Duration {
     let tokens = facts.prompt.as_ref().map(|prompt| prompt.tokens_out);
-    tokens.map_or(Duration::MAX / 2, |tokens| LONGEST_READ + LONGEST_TOKEN * tokens)
+    tokens.map_or(Duration::MAX / 2, |tokens| {
+        MAX_FIRST_TOKEN_TIME + MAX_TIME_PER_TOKEN * tokens
+    })
 }
 
 async fn read_body(body: Incoming, limit: usize, wait: Duration) -> Result<Bytes, Refusal> {
     let read = async { Some(read_limited(body, limit).await) };
-    let late = async {
+    let timeout = async {
         smol::Timer::after(wait).await;
         None
     };
-    match read.or(late).await {
+    match read.or(timeout).await {
         Some(Ok(bytes)) => Ok(bytes),
         Some(Err(e)) => Err(match e.current_context() {
             HttpError::TooLarge { .. } => {
@@ -100,7 +102,7 @@
 }
 
 /// Draws one of the route's services by weight.
-fn draw_service(route: &Route) -> ServiceId {
+fn choose_service(route: &Route) -> ServiceId {
     let total: u32 = route.services.iter().map(|s| s.weight).sum();
     let mut draw = rand::random_range(0..total.max(1));
     for share in &route.services {
--- a/components/gateway/src/traffic/admit.rs
+++ b/components/gateway/src/traffic/admit.rs
@@ -10,7 +10,7 @@
 use crate::{CallFacts, Declared, View};
 
 /// Wait before a host that knows nothing yet is asked again.
-const STARTING_WAIT: Duration = Duration::from_millis(500);
+const STARTING_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// A request that is allowed.
 pub(crate) struct Admitted {
@@ -29,7 +29,7 @@
             ProblemKind::NotServing,
             "this host has not learned yet what is declared",
         );
-        return Err(refusal.after(STARTING_WAIT));
+        return Err(refusal.with_retry_after(STARTING_RETRY_AFTER));
     };
     check_framing(parts)?;
     let host = host_of(parts).unwrap_or_default();
--- a/components/gateway/src/traffic/connect.rs
+++ b/components/gateway/src/traffic/connect.rs
@@ -16,7 +16,7 @@
 /// Silence after which a connection is probed, and the pause between probes.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// Probes without an answer after which a connection is dead.
-const PROBES: u32 = 2;
+const MAX_UNANSWERED_PROBES: u32 = 2;
 
 /// An open connection to a target; dropping it closes the socket.
 pub(crate) struct Connection {
@@ -32,16 +32,16 @@
         let stream = TcpStream::connect(address)
             .await
             .change_context(HttpError::Connect)?;
-        watch_over(&stream).change_context(HttpError::Connect)?;
+        configure_socket(&stream).change_context(HttpError::Connect)?;
         http1::handshake(FuturesIo::new(stream))
             .await
             .change_context(HttpError::Connect)
     };
-    let late = async {
+    let timeout = async {
         smol::Timer::after(CONNECT_TIMEOUT).await;
         Err(Report::new(HttpError::Connect))
     };
-    let (sender, conn) = open.or(late).await?;
+    let (sender, conn) = open.or(timeout).await?;
     let driver = ex.spawn(async move {
         // Errors reach the exchange through its sender or body.
         let _ = conn.await;
@@ -52,13 +52,13 @@
     })
 }
 
-fn watch_over(stream: &TcpStream) -> std::io::Result<()> {
+fn configure_socket(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let probes = TcpKeepalive::new()
         .with_time(PROBE_INTERVAL)
         .with_interval(PROBE_INTERVAL)
-        .with_retries(PROBES);
+        .with_retries(MAX_UNANSWERED_PROBES);
     socket.set_tcp_keepalive(&probes)?;
     socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
 }
--- a/components/gateway/src/traffic/exchange.rs
+++ b/components/gateway/src/traffic/exchange.rs
@@ -17,7 +17,7 @@
 use super::state::Traffic;
 use crate::Target;
 use crate::call::{AnswerFacts, SendFacts};
-use crate::load::{Outcome, Work};
+use crate::load::{SendOutcome, Work};
 use crate::telemetry::SendResult;
 
 /// Longest answer that is held back until it is whole, in bytes.
@@ -26,7 +26,7 @@
 /// to another target.
 const REFUSAL_TIMEOUT: Duration = Duration::from_millis(50);
 /// Connections to a target that a host may open whatever the limits.
-const LEAST_CONNECTIONS: usize = 2;
+const MIN_CONNECTIONS: usize = 2;
 /// Headers that concern one connection only.
 const CONNECTION_HEADERS: [&str; 7] = [
     "connection",
@@ -39,7 +39,7 @@
 ];
 
 /// How a try at a target ended.
-pub(crate) enum Tried {
+pub(crate) enum AttemptResult {
     /// No byte of the request reached the target.
     NotSent,
     /// The target states that it did not run the request.
@@ -73,7 +73,7 @@
     pub target: Arc<Target>,
     /// The connection.
     conn: Option<Connection>,
-    /// What counts in the target's load; `reading` until the first byte.
+    /// What counts in the target's load; `prefill_tokens` until the first byte.
     work: Work,
     /// When the request was sent.
     sent_at: Monotonic,
@@ -81,26 +81,26 @@
 
 impl Exchange {
     /// The first byte of the answer has come.
-    fn note_first_byte(&mut self, facts: &AnswerFacts, status: u16, is_behind: bool) {
+    fn record_first_byte(&mut self, facts: &AnswerFacts, status: u16, has_old_weights: bool) {
         let now = self.cx.now();
-        let reading = std::mem::take(&mut self.work.reading);
+        let prefill_tokens = std::mem::take(&mut self.work.prefill_tokens);
         let took = now.saturating_sub(self.sent_at);
         self.cx.telemetry.first_byte(took);
         self.cx.with_slot(&self.target, |slot| {
-            slot.load.note_read(reading, self.sent_at);
+            slot.load.record_first_byte(prefill_tokens, self.sent_at);
             if let Some(load) = facts.load {
-                slot.load.note_load(load, now);
+                slot.load.record_answer_load(load, now);
             }
-            slot.seen_weights = slot.seen_weights.max(facts.weights);
+            slot.observed_weights = slot.observed_weights.max(facts.weights);
             let outcome = match status {
-                _ if facts.is_not_run && is_behind => Outcome::Loading,
-                _ if facts.is_not_run => Outcome::TurnedAway,
-                500.. => Outcome::Failed,
-                _ => Outcome::Answered(took),
+                _ if facts.is_not_run && has_old_weights => SendOutcome::LoadingWeights,
+                _ if facts.is_not_run => SendOutcome::Rejected,
+                500.. => SendOutcome::Failed,
+                _ => SendOutcome::Answered(took),
             };
             // A misdirected request says nothing of the target's load.
             if !facts.is_misdirected {
-                slot.load.note(outcome, now);
+                slot.load.record_outcome(outcome, now);
             }
         });
     }
@@ -111,15 +111,16 @@
         let Some(conn) = self.conn.take() else { return };
         self.cx.with_slot(&self.target, |slot| match facts.is_closing {
             true => slot.release(),
-            false => slot.keep(conn, facts.keep_alive, now),
+            false => slot.put_idle(conn, facts.keep_alive, now),
         });
     }
 
     /// The connection broke off.
-    pub(crate) fn note_broken(&self) {
+    pub(crate) fn record_broken(&self) {
         let now = self.cx.now();
-        self.cx
-            .with_slot(&self.target, |slot| slot.load.note(Outcome::Failed, now));
+        self.cx.with_slot(&self.target, |slot| {
+            slot.load.record_outcome(SendOutcome::Failed, now)
+        });
     }
 }
 
@@ -128,8 +129,8 @@
         let (work, sent_at) = (self.work, self.sent_at);
         let is_open = self.conn.take().is_some();
         self.cx.with_slot(&self.target, |slot| {
-            slot.load.note_read(work.reading, sent_at);
-            slot.load.end(work);
+            slot.load.record_first_byte(work.prefill_tokens, sent_at);
+            slot.load.record_end(work);
             if is_open {
                 slot.release();
             }
@@ -143,25 +144,30 @@
     call: &Call,
     placed: &Placed,
     resume_after: Option<String>,
-) -> Tried {
-    let tried = try_target(cx, call, placed, resume_after).await;
+) -> AttemptResult {
+    let tried = send_to_target(cx, call, placed, resume_after).await;
     let result = match &tried {
-        Tried::NotSent => SendResult::NotSent,
-        Tried::NotRun(_) => SendResult::NotRun,
-        Tried::Unknown | Tried::TimedOut => SendResult::NoAnswer,
-        Tried::Answered(_) => SendResult::Answered,
+        AttemptResult::NotSent => SendResult::NotSent,
+        AttemptResult::NotRun(_) => SendResult::NotRun,
+        AttemptResult::Unknown | AttemptResult::TimedOut => SendResult::NoAnswer,
+        AttemptResult::Answered(_) => SendResult::Answered,
     };
     cx.telemetry.sent(&call.id, &placed.target.instance, result);
     tried
 }
 
-async fn try_target(cx: &Arc<Traffic>, call: &Call, placed: &Placed, resume_after: Option<String>) -> Tried {
+async fn send_to_target(
+    cx: &Arc<Traffic>,
+    call: &Call,
+    placed: &Placed,
+    resume_after: Option<String>,
+) -> AttemptResult {
     let target = placed.target.clone();
     let Some(conn) = open(cx, call, &target).await else {
-        return Tried::NotSent;
+        return AttemptResult::NotSent;
     };
     let sent_at = cx.now();
-    cx.with_slot(&target, |slot| slot.load.begin(placed.work, sent_at));
+    cx.with_slot(&target, |slot| slot.load.record_start(placed.work, sent_at));
     let mut exchange = Exchange {
         cx: cx.clone(),
         target: target.clone(),
@@ -171,64 +177,68 @@
     };
     // Connecting takes time; what was true before may not be any more.
     if !cx.view.load().holds(&target) {
-        return Tried::NotSent;
+        return AttemptResult::NotSent;
     }
-    let time_left = call.until.saturating_sub(cx.now());
+    let time_left = call.deadline.saturating_sub(cx.now());
     let Some(req) = request(cx, call, placed, time_left, resume_after) else {
-        return Tried::NotSent;
+        return AttemptResult::NotSent;
     };
     let Some(conn) = exchange.conn.as_mut() else {
-        return Tried::NotSent;
+        return AttemptResult::NotSent;
     };
     let answer = async { Some(conn.sender.try_send_request(req).await) };
-    let late = async {
+    let timeout = async {
         smol::Timer::after(time_left).await;
         None
     };
-    let res = match answer.or(late).await {
-        None => return Tried::TimedOut,
+    let res = match answer.or(timeout).await {
+        None => return AttemptResult::TimedOut,
         Some(Ok(res)) => res,
         Some(Err(mut e)) => {
             let is_sent = e.take_message().is_none();
             if is_sent {
-                exchange.note_broken();
+                exchange.record_broken();
             }
-            return if is_sent { Tried::Unknown } else { Tried::NotSent };
+            return if is_sent {
+                AttemptResult::Unknown
+            } else {
+                AttemptResult::NotSent
+            };
         }
     };
     let (parts, body) = res.into_parts();
-    judge(cx, call, placed, exchange, parts, body).await
+    classify_answer(cx, call, placed, exchange, parts, body).await
 }
 
 /// Sorts an answer by what its head says.
-async fn judge(
+async fn classify_answer(
     cx: &Traffic,
     call: &Call,
     placed: &Placed,
     mut exchange: Exchange,
     mut parts: Parts,
     body: Incoming,
-) -> Tried {
+) -> AttemptResult {
     let view = cx.view.load();
     let named = call.model().and_then(|model| view.weights.get(model));
-    let is_behind = named.is_some_and(|named| placed.weights < Some(named.newest()));
+    let has_old_weights = named.is_some_and(|named| placed.weights < Some(named.newest()));
     let facts = cx.heads.read_answer(parts.status.as_u16(), &parts.headers);
-    let is_other = facts.id.as_deref().is_some_and(|id| id != call.id);
-    if is_other {
+    let is_other_request = facts.id.as_deref().is_some_and(|id| id != call.id);
+    if is_other_request {
         // The answer of an earlier request on this connection; the own one can't be told from it any more.
-        return Tried::Unknown;
+        return AttemptResult::Unknown;
     }
-    exchange.note_first_byte(&facts, parts.status.as_u16(), is_behind);
+    exchange.record_first_byte(&facts, parts.status.as_u16(), has_old_weights);
     if facts.is_not_run || facts.is_misdirected {
-        let time_left = call.until.saturating_sub(cx.now());
+        let time_left = call.deadline.saturating_sub(cx.now());
         let rest = read_whole(body, time_left.min(REFUSAL_TIMEOUT)).await;
         if rest.is_some() {
             exchange.finish(&facts);
         }
-        return Tried::NotRun(facts);
+        return AttemptResult::NotRun(facts);
     }
     strip_connection_headers(&mut parts.headers);
-    Tried::Answered(Box::new(Answer {
+    AttemptResult::Answered(Box::new(Answer {
         parts,
         facts,
         body,
@@ -242,11 +252,11 @@
         let limited = http_body_util::Limited::new(body, MAX_WHOLE_BYTES);
         limited.collect().await.ok().map(|all| all.to_bytes())
     };
-    let late = async {
+    let timeout = async {
         smol::Timer::after(time_left).await;
         None
     };
-    read.or(late).await
+    read.or(timeout).await
 }
 
 /// An idle connection to a target, or a new one within this host's part of the target's limit.
@@ -274,7 +284,9 @@
             slog::debug!(cx.log, "no connection"; errors::events::ROUTE_TRY_FAILED,
                 "request" => &call.id, "target" => &target.instance, "error" => %e);
             let now = cx.now();
-            cx.with_slot(target, |slot| slot.load.note(Outcome::Unreachable, now));
+            cx.with_slot(target, |slot| {
+                slot.load.record_outcome(SendOutcome::Unreachable, now)
+            });
             None
         }
     }
@@ -306,7 +318,7 @@
     let limit = service.map_or(u32::MAX, |service| service.connection_limit) as usize;
     let targets = view.targets.values().map(Vec::len).sum::<usize>();
     let sockets = cx.settings.sockets / 2 / targets.max(1);
-    (limit / view.host_count()).min(sockets).max(LEAST_CONNECTIONS)
+    (limit / view.host_count()).min(sockets).max(MIN_CONNECTIONS)
 }
 
 fn request(
@@ -324,7 +336,7 @@
         workspace: call.workspace.as_ref().map(|w| w.name.clone()),
         cache_salt: call.cache_salt(placed.weights),
         weights: placed.weights,
-        priority: call.rank(),
+        priority: call.priority(),
         resume_after,
         cache: placed.cache.clone(),
     };
--- a/components/gateway/src/traffic/mod.rs
+++ b/components/gateway/src/traffic/mod.rs
@@ -14,5 +14,5 @@
 mod stream_events;
 
 pub(crate) use pipeline::serve;
-pub(crate) use state::{Leaving, Traffic};
-pub use stream_events::{EventCutter, Progress};
+pub(crate) use state::{DrainSchedule, Traffic};
+pub use stream_events::{EventSplitter, Progress};
--- a/components/gateway/src/traffic/pipeline.rs
+++ b/components/gateway/src/traffic/pipeline.rs
@@ -11,8 +11,8 @@
 use utils::TargetId;
 
 use super::accept::accept;
-use super::exchange::{Answer, Tried, exchange, read_whole};
-use super::place::{NoPlace, Placed, place, versioned};
+use super::exchange::{Answer, AttemptResult, exchange, read_whole};
+use super::place::{Placed, PlacementError, place, session_for_weights};
 use super::refusal::Refusal;
 use super::relay::relay;
 use super::request::Call;
@@ -23,28 +23,28 @@
 use crate::{AnswerFacts, Target};
 
 /// Most sends of one request, those that were turned away included.
-const MOST_SENDS: u32 = 4;
+const MAX_SENDS: u32 = 4;
 /// Most targets that could not be reached before a request is refused.
-const MOST_UNREACHABLE: u32 = 6;
+const MAX_UNREACHABLE: u32 = 6;
 /// Wait before a refused request is worth another try.
-const REFUSED_WAIT: Duration = Duration::from_millis(300);
+const NO_TARGET_RETRY_AFTER: Duration = Duration::from_millis(300);
 /// Part of the route's timeout after which a request that found no room is worth another try. Spread, so that those who were
 /// refused together do not return together.
-const FULL_WAIT_PART: f64 = 0.12;
+const OVERLOAD_RETRY_AFTER_SHARE: f64 = 0.12;
 /// Time left below which a request is not sent any more.
-const SHORTEST_USEFUL: Duration = Duration::from_millis(10);
+const MIN_TIME_LEFT: Duration = Duration::from_millis(10);
 
 /// Counts a request as open while it is held.
 pub(crate) struct OpenRequest(Arc<Traffic>);
 
 impl OpenRequest {
     fn new(cx: &Arc<Traffic>) -> Self {
-        cx.open.fetch_add(1, Ordering::AcqRel);
+        cx.in_flight.fetch_add(1, Ordering::AcqRel);
         Self(cx.clone())
     }
 
     fn counter(&self) -> &AtomicUsize {
-        &self.0.open
+        &self.0.in_flight
     }
 }
 
@@ -60,7 +60,7 @@
     let id = cx.heads.read_call(req.headers());
     let request_id = id.id.clone().unwrap_or_default();
     let mut res = match accept(&cx, req, id).await {
-        Ok(call) => run(&cx, call, open).await,
+        Ok(call) => send_until_answered(&cx, call, open).await,
         Err(refusal) => {
             log_refusal(&cx, &request_id, &refusal);
             refusal.response(&request_id)
@@ -75,126 +75,136 @@
 
 /// How far a request's tries got.
 #[derive(Default)]
-pub(crate) struct Tries {
+pub(crate) struct Attempts {
     /// Runs of targets that it was sent to or that could not be reached.
-    pub tried: Vec<TargetId>,
+    pub tried_targets: Vec<TargetId>,
     /// Sends.
     pub sends: u32,
     /// Sends that may have run.
-    pub runs: u32,
+    pub possible_runs: u32,
     /// Targets that could not be reached.
     unreachable: u32,
     /// Why it had no place at last.
-    no_place: Option<NoPlace>,
+    placement_error: Option<PlacementError>,
     /// A failure that a target answered; delivered if nothing better comes.
     failure: Option<(hyper::http::response::Parts, Bytes)>,
 }
 
-impl Tries {
+impl Attempts {
     /// Whether one more send is allowed: by the route, by the time left and, beyond the first, by the budget of repeats.
     pub(crate) fn may_send(&self, cx: &Traffic, call: &Call) -> bool {
-        let is_early = cx.now() + SHORTEST_USEFUL < call.until;
-        let may_run = self.runs == 0 || call.route.repeat.is_idempotent();
-        let has_tries = self.runs < call.route.max_targets.max(1) && self.sends < MOST_SENDS;
-        let is_allowed = is_early && may_run && has_tries && self.unreachable < MOST_UNREACHABLE;
-        is_allowed && (self.sends == 0 || cx.take_repeat(&call.service))
+        let is_early = cx.now() + MIN_TIME_LEFT < call.deadline;
+        let may_run = self.possible_runs == 0 || call.route.repeat.is_idempotent();
+        let has_tries = self.possible_runs < call.route.max_targets.max(1) && self.sends < MAX_SENDS;
+        let is_allowed = is_early && may_run && has_tries && self.unreachable < MAX_UNREACHABLE;
+        is_allowed && (self.sends == 0 || cx.take_retry(&call.service))
     }
 
     /// Counts a send.
-    pub(crate) fn note(&mut self, placed: &Placed, tried: &Tried) {
+    pub(crate) fn record(&mut self, placed: &Placed, tried: &AttemptResult) {
         match tried {
-            Tried::NotSent => self.unreachable += 1,
-            Tried::NotRun(_) => self.sends += 1,
-            Tried::Unknown | Tried::TimedOut | Tried::Answered(_) => {
+            AttemptResult::NotSent => self.unreachable += 1,
+            AttemptResult::NotRun(_) => self.sends += 1,
+            AttemptResult::Unknown | AttemptResult::TimedOut | AttemptResult::Answered(_) => {
                 self.sends += 1;
-                self.runs += 1;
+                self.possible_runs += 1;
             }
         }
         // With the version that it just named, the same target takes the request.
         let shows_newer = |facts: &AnswerFacts| facts.is_misdirected && facts.weights > placed.weights;
-        if !matches!(tried, Tried::NotRun(facts) if shows_newer(facts)) {
-            self.tried.push(placed.target.run.clone());
+        if !matches!(tried, AttemptResult::NotRun(facts) if shows_newer(facts)) {
+            self.tried_targets.push(placed.target.run.clone());
         }
     }
 
     fn refusal(&self, call: &Call) -> Refusal {
-        if self.runs > 0 {
-            return Refusal::unknown(
+        if self.possible_runs > 0 {
+            return Refusal::may_have_run(
                 ProblemKind::OutcomeUnknown,
                 "a target took the request and did not answer",
             );
         }
-        match self.no_place {
-            Some(NoPlace::Full) => {
-                let wait = jittered(call.route.timeout.mul_f64(FULL_WAIT_PART), 0.3);
-                Refusal::not_run(ProblemKind::Overloaded, "every target is full").after(wait)
+        match self.placement_error {
+            Some(PlacementError::AllFull) => {
+                let wait = jittered(call.route.timeout.mul_f64(OVERLOAD_RETRY_AFTER_SHARE), 0.3);
+                Refusal::not_run(ProblemKind::Overloaded, "every target is full").with_retry_after(wait)
             }
-            _ => Refusal::not_run(ProblemKind::NoTarget, "no target took the request").after(REFUSED_WAIT),
+            _ => Refusal::not_run(ProblemKind::NoTarget, "no target took the request")
+                .with_retry_after(NO_TARGET_RETRY_AFTER),
         }
     }
 }
 
 /// Sends a request until a target answers it or no further try is allowed.
-async fn run(cx: &Arc<Traffic>, call: Call, open: OpenRequest) -> Response<Body> {
-    cx.note_request(&call.service);
-    let mut tries = Tries::default();
-    while tries.may_send(cx, &call) {
-        let placed = match place(cx, &call, &tries.tried) {
+async fn send_until_answered(cx: &Arc<Traffic>, call: Call, open: OpenRequest) -> Response<Body> {
+    cx.record_request(&call.service);
+    let mut attempts = Attempts::default();
+    while attempts.may_send(cx, &call) {
+        let placed = match place(cx, &call, &attempts.tried_targets) {
             Ok(placed) => placed,
             Err(reason) => {
-                tries.no_place = Some(reason);
+                attempts.placement_error = Some(reason);
                 break;
             }
         };
-        cx.telemetry
-            .placed(&call.id, &placed.target.instance, &placed.choice, tries.sends + 1);
-        if let (Some(session), true) = (call.session_key(), tries.runs == 0) {
+        cx.telemetry.placed(
+            &call.id,
+            &placed.target.instance,
+            &placed.choice,
+            attempts.sends + 1,
+        );
+        if let (Some(session), true) = (call.session_key(), attempts.possible_runs == 0) {
             let now = cx.now();
-            let session = versioned(session, placed.weights);
-            cx.known()
+            let session = session_for_weights(session, placed.weights);
+            cx.routing()
                 .sessions
-                .note_sent(session, placed.target.run.clone(), now);
+                .record_sent(session, placed.target.run.clone(), now);
         }
         let resume_after = call.last_event.clone();
         let tried = exchange(cx, &call, &placed, resume_after).await;
-        tries.note(&placed, &tried);
+        attempts.record(&placed, &tried);
         match tried {
-            Tried::NotSent | Tried::NotRun(_) => {}
-            Tried::Unknown => note_crash(cx, &call, &placed.target),
-            Tried::TimedOut => {
+            AttemptResult::NotSent | AttemptResult::NotRun(_) => {}
+            AttemptResult::Unknown => record_crash(cx, &call, &placed.target),
+            AttemptResult::TimedOut => {
                 return refuse(
                     cx,
                     &call,
-                    &Refusal::unknown(ProblemKind::DeadlineUnreachable, "no answer in time"),
+                    &Refusal::may_have_run(ProblemKind::DeadlineUnreachable, "no answer in time"),
                 );
             }
-            Tried::Answered(answer) => match settle(cx, &call, *answer, &mut tries).await {
-                Settled::Stream(answer) => return relay(cx.clone(), call, *answer, tries, open),
-                Settled::Whole(res) => return res,
-                Settled::Again => {}
+            AttemptResult::Answered(answer) => match handle_answer(cx, &call, *answer, &mut attempts).await {
+                AnswerAction::Stream(answer) => return relay(cx.clone(), call, *answer, attempts, open),
+                AnswerAction::Whole(res) => return res,
+                AnswerAction::Retry => {}
             },
         }
     }
-    if let Some((parts, body)) = tries.failure.take() {
+    if let Some((parts, body)) = attempts.failure.take() {
         return Response::from_parts(parts, full_body(body));
     }
-    refuse(cx, &call, &tries.refusal(&call))
+    refuse(cx, &call, &attempts.refusal(&call))
 }
 
 /// What becomes of an answer.
-enum Settled {
+enum AnswerAction {
     /// It is passed on as it comes.
     Stream(Box<Answer>),
     /// It goes to the caller whole.
     Whole(Response<Body>),
     /// It is a failure, or broke off; the request may be sent again.
-    Again,
+    Retry,
 }
 
-async fn settle(cx: &Arc<Traffic>, call: &Call, answer: Answer, tries: &mut Tries) -> Settled {
+async fn handle_answer(
+    cx: &Arc<Traffic>,
+    call: &Call,
+    answer: Answer,
+    attempts: &mut Attempts,
+) -> AnswerAction {
     let is_good = answer.parts.status.is_success();
     if is_good && call.route.repeat.is_stream() {
-        return Settled::Stream(Box::new(answer));
+        return AnswerAction::Stream(Box::new(answer));
     }
     let run = answer.exchange.target.run.clone();
     let Answer {
@@ -203,38 +213,38 @@
         body,
         exchange,
     } = answer;
-    let Some(bytes) = read_whole(body, call.until.saturating_sub(cx.now())).await else {
-        exchange.note_broken();
+    let Some(bytes) = read_whole(body, call.deadline.saturating_sub(cx.now())).await else {
+        exchange.record_broken();
         // A target that is only slow has not crashed.
-        if cx.now() < call.until {
-            note_crash(cx, call, &exchange.target);
+        if cx.now() < call.deadline {
+            record_crash(cx, call, &exchange.target);
         }
-        return Settled::Again;
+        return AnswerAction::Retry;
     };
     exchange.finish(&facts);
     if parts.status.is_server_error() && call.route.repeat.is_idempotent() {
-        tries.failure = Some((parts, bytes));
-        return Settled::Again;
+        attempts.failure = Some((parts, bytes));
+        return AnswerAction::Retry;
     }
     if is_good {
-        cx.known().crashes.note_success(&call.fingerprint);
+        cx.routing().crashes.record_success(&call.fingerprint);
     }
     cx.telemetry
-        .answered(&call.id, &run, parts.status.as_u16(), 0, tries.sends);
-    Settled::Whole(Response::from_parts(parts, full_body(bytes)))
+        .answered(&call.id, &run, parts.status.as_u16(), 0, attempts.sends);
+    AnswerAction::Whole(Response::from_parts(parts, full_body(bytes)))
 }
 
 /// A target broke off with the request aboard.
-pub(crate) fn note_crash(cx: &Traffic, call: &Call, target: &Target) {
+pub(crate) fn record_crash(cx: &Traffic, call: &Call, target: &Target) {
     let now = cx.now();
-    let count = cx.known().crashes.note_crash(call.fingerprint, now);
+    let count = cx.routing().crashes.record_crash(call.fingerprint, now);
     let crash = Crash {
         fingerprint: call.fingerprint,
         address: target.address,
         count,
     };
     if cx.crashed.try_send(crash).is_err() {
-        cx.telemetry.crash_untold(&call.id);
+        cx.telemetry.crash_not_shared(&call.id);
     }
 }
 
--- a/components/gateway/src/traffic/pool.rs
+++ b/components/gateway/src/traffic/pool.rs
@@ -8,7 +8,7 @@
 /// A connection is not used again this long before the target closes it.
 const CLOSE_MARGIN: Duration = Duration::from_millis(1_200);
 /// Time for which a connection is kept if the target does not say.
-const KEPT_FOR: Duration = Duration::from_secs(4);
+const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(4);
 
 /// A connection that waits for its next request.
 struct Idle {
@@ -24,7 +24,7 @@
     /// Load and health.
     pub load: LoadEstimate,
     /// Weight version that the target showed with an answer, by its own number.
-    pub seen_weights: Option<u64>,
+    pub observed_weights: Option<u64>,
     /// Open connections, idle ones included.
     open: usize,
     /// Idle connections, the one used last at the end.
@@ -64,20 +64,22 @@
     }
 
     /// Keeps a connection for the next request.
-    pub(crate) fn keep(&mut self, conn: Connection, keep_alive: Option<Duration>, now: Monotonic) {
-        let kept_for = keep_alive.map_or(KEPT_FOR, |said| said.saturating_sub(CLOSE_MARGIN));
-        if conn.sender.is_closed() || kept_for.is_zero() {
+    pub(crate) fn put_idle(&mut self, conn: Connection, keep_alive: Option<Duration>, now: Monotonic) {
+        let idle_time = keep_alive.map_or(DEFAULT_IDLE_TIME, |keep_alive| {
+            keep_alive.saturating_sub(CLOSE_MARGIN)
+        });
+        if conn.sender.is_closed() || idle_time.is_zero() {
             self.release();
             return;
         }
         self.idle.push(Idle {
             conn,
-            usable_until: now + kept_for,
+            usable_until: now + idle_time,
         });
     }
 
     /// Closes the idle connections that may not be used any more.
-    pub(crate) fn close_old(&mut self, now: Monotonic) {
+    pub(crate) fn close_expired(&mut self, now: Monotonic) {
         let before = self.idle.len();
         self.idle
             .retain(|idle| now < idle.usable_until && !idle.conn.sender.is_closed());
--- a/components/gateway/src/traffic/refusal.rs
+++ b/components/gateway/src/traffic/refusal.rs
@@ -28,7 +28,7 @@
         }
     }
 
-    pub(crate) const fn unknown(kind: ProblemKind, detail: &'static str) -> Self {
+    pub(crate) const fn may_have_run(kind: ProblemKind, detail: &'static str) -> Self {
         Self {
             kind,
             outcome: Outcome::MayHaveRun,
@@ -37,7 +37,7 @@
         }
     }
 
-    pub(crate) const fn after(mut self, wait: Duration) -> Self {
+    pub(crate) const fn with_retry_after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
         self
     }
--- a/components/gateway/src/traffic/relay.rs
+++ b/components/gateway/src/traffic/relay.rs
@@ -9,12 +9,12 @@
 use hyper::body::Incoming;
 use hyper::header::CONTENT_LENGTH;
 
-use super::exchange::{Answer, Exchange, Tried, exchange};
-use super::pipeline::{OpenRequest, Tries, may_resume, note_crash};
+use super::exchange::{Answer, AttemptResult, Exchange, exchange};
+use super::pipeline::{Attempts, OpenRequest, may_resume, record_crash};
 use super::place::place;
 use super::request::Call;
 use super::state::Traffic;
-use super::stream_events::EventCutter;
+use super::stream_events::EventSplitter;
 use crate::AnswerFacts;
 
 /// A stream on its way to the caller. The caller's connection drives it; when the caller leaves, it is dropped with the
@@ -25,9 +25,9 @@
     /// The request.
     call: Call,
     /// Tries so far.
-    tries: Tries,
+    attempts: Attempts,
     /// Cuts at event ends.
-    cutter: EventCutter,
+    splitter: EventSplitter,
     /// Where the events come from.
     source: Option<Source>,
     /// Counts as open until the end.
@@ -61,7 +61,7 @@
     cx: Arc<Traffic>,
     call: Call,
     answer: Answer,
-    tries: Tries,
+    attempts: Attempts,
     open: OpenRequest,
 ) -> Response<Body> {
     let Answer {
@@ -74,12 +74,12 @@
         // Another target may add to what this one announced.
         parts.headers.remove(CONTENT_LENGTH);
     }
-    let cutter = EventCutter::after(call.last_event.clone());
+    let splitter = EventSplitter::resume_after(call.last_event.clone());
     let relay = Relay {
         cx,
         call,
-        tries,
-        cutter,
+        attempts,
+        splitter,
         source: Some(Source {
             body,
             facts,
@@ -101,7 +101,7 @@
             let source = self.source.as_mut()?;
             match read(&self.cx, &self.call, source).await {
                 Next::Data(bytes) => {
-                    let whole = self.cutter.push(&bytes);
+                    let whole = self.splitter.push(&bytes);
                     if !whole.is_empty() {
                         return Some(Ok(whole));
                     }
@@ -109,13 +109,13 @@
                 Next::End => return self.end(),
                 Next::TimedOut => {
                     self.source = None;
-                    self.log_cut("the route's time is up");
+                    self.log_interrupted("the route's time is up");
                     return Some(Err(HttpError::TimedOut));
                 }
                 Next::Broken => {
-                    self.note_broken();
+                    self.record_broken();
                     if !self.resume().await {
-                        self.log_cut("the target broke off");
+                        self.log_interrupted("the target broke off");
                         return Some(Err(HttpError::Interrupted));
                     }
                 }
@@ -127,42 +127,42 @@
         let source = self.source.take()?;
         let run = source.exchange.target.run.clone();
         source.exchange.finish(&source.facts);
-        self.cx.known().crashes.note_success(&self.call.fingerprint);
-        let events = self.cutter.progress().events;
+        self.cx.routing().crashes.record_success(&self.call.fingerprint);
+        let events = self.splitter.progress().events;
         self.cx
             .telemetry
-            .answered(&self.call.id, &run, 200, events, self.tries.sends);
-        let rest = self.cutter.finish();
+            .answered(&self.call.id, &run, 200, events, self.attempts.sends);
+        let rest = self.splitter.finish();
         (!rest.is_empty()).then_some(Ok(rest))
     }
 
-    fn note_broken(&mut self) {
+    fn record_broken(&mut self) {
         if let Some(source) = self.source.take() {
-            source.exchange.note_broken();
-            note_crash(&self.cx, &self.call, &source.exchange.target);
+            source.exchange.record_broken();
+            record_crash(&self.cx, &self.call, &source.exchange.target);
         }
-        self.cutter.drop_partial();
+        self.splitter.discard_partial();
     }
 
     /// Goes on at another target after the last whole event.
     async fn resume(&mut self) -> bool {
-        let progress = self.cutter.progress();
+        let progress = self.splitter.progress();
         let is_known = progress.last_event.is_some() || progress.events == 0;
         if !may_resume(&self.call) || !is_known {
             return false;
         }
         let after = progress.last_event.clone();
-        while self.tries.may_send(&self.cx, &self.call) {
-            let Ok(placed) = place(&self.cx, &self.call, &self.tries.tried) else {
+        while self.attempts.may_send(&self.cx, &self.call) {
+            let Ok(placed) = place(&self.cx, &self.call, &self.attempts.tried_targets) else {
                 return false;
             };
             let tried = exchange(&self.cx, &self.call, &placed, after.clone()).await;
-            self.tries.note(&placed, &tried);
+            self.attempts.record(&placed, &tried);
             match tried {
-                Tried::NotSent | Tried::NotRun(_) => {}
-                Tried::Unknown => note_crash(&self.cx, &self.call, &placed.target),
-                Tried::TimedOut => return false,
-                Tried::Answered(answer) => {
+                AttemptResult::NotSent | AttemptResult::NotRun(_) => {}
+                AttemptResult::Unknown => record_crash(&self.cx, &self.call, &placed.target),
+                AttemptResult::TimedOut => return false,
+                AttemptResult::Answered(answer) => {
                     if !answer.parts.status.is_success() {
                         continue;
                     }
@@ -188,8 +188,8 @@
         false
     }
 
-    fn log_cut(&self, reason: &'static str) {
-        let events = self.cutter.progress().events;
+    fn log_interrupted(&self, reason: &'static str) {
+        let events = self.splitter.progress().events;
         self.cx.telemetry.cut(&self.call.id, events, reason);
     }
 }
@@ -208,9 +208,9 @@
             }
         }
     };
-    let late = async {
-        smol::Timer::after(call.until.saturating_sub(cx.now())).await;
+    let timeout = async {
+        smol::Timer::after(call.deadline.saturating_sub(cx.now())).await;
         Next::TimedOut
     };
-    frame.or(late).await
+    frame.or(timeout).await
 }
--- a/components/gateway/src/traffic/request.rs
+++ b/components/gateway/src/traffic/request.rs
@@ -7,7 +7,7 @@
 
 use crate::PromptShape;
 use crate::declared::{Route, Workspace};
-use crate::kept::{salt_of, wall_of};
+use crate::kept::{cache_scope, salt_of};
 use crate::placement::Demand;
 use crate::quarantine::Fingerprint;
 use crate::sessions::SessionKey;
@@ -35,7 +35,7 @@
     /// Last event that the caller has.
     pub last_event: Option<String>,
     /// When its time is up.
-    pub until: Monotonic,
+    pub deadline: Monotonic,
     /// Names it among the requests that crash targets.
     pub fingerprint: Fingerprint,
 }
@@ -49,10 +49,10 @@
     pub(crate) fn demand(&self) -> Demand {
         let prompt = self.prompt.as_ref();
         Demand {
-            tokens: prompt.map_or(0, |p| p.tokens_in),
+            prompt_tokens: prompt.map_or(0, |p| p.tokens_in),
             shared_tokens: prompt.map_or(0, PromptShape::shared_tokens),
             memory: prompt.map_or(0, |p| p.tokens_in + p.tokens_out / 2),
-            rank: self.rank().unwrap_or(0),
+            priority: self.priority().unwrap_or(0),
             latency_target: self.route.latency_target,
         }
     }
@@ -61,7 +61,7 @@
     pub(crate) fn session_key(&self) -> Option<SessionKey> {
         let prompt = self.prompt.as_ref()?;
         let part = prompt.session()?;
-        let wall = wall_of(self.workspace.as_deref());
+        let wall = cache_scope(self.workspace.as_deref());
         let text = format!("{wall}\n{}\n{}", prompt.model, part.id);
         Some(utils::digest(text.as_bytes()).first_u64())
     }
@@ -76,7 +76,7 @@
     }
 
     /// Rank at the target: the workspace's goes before the route's.
-    pub(crate) fn rank(&self) -> Option<u8> {
+    pub(crate) fn priority(&self) -> Option<u8> {
         self.prompt.as_ref()?;
         let workspace = self.workspace.as_ref().and_then(|w| w.priority);
         Some(workspace.unwrap_or(self.route.priority).min(9))
--- a/components/gateway/src/traffic/state.rs
+++ b/components/gateway/src/traffic/state.rs
@@ -13,15 +13,15 @@
 use crate::ports::Heads;
 use crate::quarantine::{Crash, Crashes};
 use crate::telemetry::Telemetry;
-use crate::{HostSettings, RetryShare, Sessions, Target, View};
+use crate::{HostSettings, RetryBudget, Sessions, Target, View};
 
 /// What the traffic thread knows beside the view.
 #[derive(Default)]
-pub(crate) struct Known {
+pub(crate) struct RoutingState {
     /// Connections, load and health by run of a target.
     pub slots: HashMap<TargetId, TargetSlot>,
     /// Budgets of repeats by service.
-    pub budgets: HashMap<ServiceId, RetryShare>,
+    pub budgets: HashMap<ServiceId, RetryBudget>,
     /// Where sessions were sent.
     pub sessions: Sessions,
     /// Requests that were aboard crashes.
@@ -30,9 +30,9 @@
 
 /// When a host that is about to end does what.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Leaving {
+pub(crate) struct DrainSchedule {
     /// From now on it takes only what it can finish.
-    pub picky_from: Monotonic,
+    pub limited_from: Monotonic,
     /// When it ends.
     pub ends_at: Monotonic,
 }
@@ -54,13 +54,13 @@
     /// Log lines and metrics of requests.
     pub telemetry: Telemetry,
     /// Set once the host is about to end.
-    leaving: OnceLock<Leaving>,
+    drain: OnceLock<DrainSchedule>,
     /// Requests under way.
-    pub open: AtomicUsize,
+    pub in_flight: AtomicUsize,
     /// Crashes of targets, for the control thread to tell other hosts of.
     pub crashed: async_channel::Sender<Crash>,
     /// What the traffic thread knows.
-    known: Mutex<Known>,
+    routing: Mutex<RoutingState>,
     /// What is known of the stores of kept cache.
     kept: Mutex<KeptCache>,
 }
@@ -82,10 +82,10 @@
             ex,
             telemetry: Telemetry::new(log.clone()),
             log,
-            leaving: OnceLock::new(),
-            open: AtomicUsize::new(0),
+            drain: OnceLock::new(),
+            in_flight: AtomicUsize::new(0),
             crashed,
-            known: Mutex::default(),
+            routing: Mutex::default(),
             kept: Mutex::default(),
         }
     }
@@ -95,18 +95,18 @@
     }
 
     pub(crate) fn is_draining(&self) -> bool {
-        self.leaving.get().is_some()
+        self.drain.get().is_some()
     }
 
     /// The host is about to end. Only the first call counts.
-    pub(crate) fn leave(&self, leaving: Leaving) {
-        let _ = self.leaving.set(leaving);
+    pub(crate) fn begin_drain(&self, drain: DrainSchedule) {
+        let _ = self.drain.set(drain);
     }
 
     /// Whether a request that may last until a moment can still be taken.
     pub(crate) fn can_finish(&self, until: Monotonic) -> bool {
-        let leaving = self.leaving.get();
-        leaving.is_none_or(|leaving| self.now() < leaving.picky_from || until < leaving.ends_at)
+        let drain = self.drain.get();
+        drain.is_none_or(|drain| self.now() < drain.limited_from || until < drain.ends_at)
     }
 
     /// Whether the balancer should send callers here.
@@ -114,8 +114,8 @@
         !self.is_draining() && self.view.load().is_able()
     }
 
-    pub(crate) fn known(&self) -> MutexGuard<'_, Known> {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn routing(&self) -> MutexGuard<'_, RoutingState> {
+        self.routing.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     pub(crate) fn kept(&self) -> MutexGuard<'_, KeptCache> {
@@ -124,53 +124,53 @@
 
     /// Runs `f` on what is known of a target.
     pub(crate) fn with_slot<T>(&self, target: &Target, f: impl FnOnce(&mut TargetSlot) -> T) -> T {
-        f(self.known().slots.entry(target.run.clone()).or_default())
+        f(self.routing().slots.entry(target.run.clone()).or_default())
     }
 
     /// Takes what an engine has reported at a moment.
-    pub(crate) fn note_report(&self, run: &TargetId, load: ReportedLoad, at: Monotonic) {
-        let mut known = self.known();
-        let slot = known.slots.entry(run.clone()).or_default();
-        slot.load.note_report(load, at);
+    pub(crate) fn record_report(&self, run: &TargetId, load: ReportedLoad, at: Monotonic) {
+        let mut routing = self.routing();
+        let slot = routing.slots.entry(run.clone()).or_default();
+        slot.load.record_report(load, at);
     }
 
     /// Counts a request of a service.
-    pub(crate) fn note_request(&self, service: &ServiceId) {
+    pub(crate) fn record_request(&self, service: &ServiceId) {
         let now = self.now();
-        self.with_budget(service, |share| share.note_request(now));
+        self.with_budget(service, |budget| budget.record_request(now));
     }
 
     /// Takes one repeat out of a service's budget.
-    pub(crate) fn take_repeat(&self, service: &ServiceId) -> bool {
+    pub(crate) fn take_retry(&self, service: &ServiceId) -> bool {
         let now = self.now();
         let hosts = self.view.load().host_count();
-        let is_allowed = self.with_budget(service, |share| share.take(hosts, now));
-        self.telemetry.repeat(is_allowed);
+        let is_allowed = self.with_budget(service, |budget| budget.try_take(hosts, now));
+        self.telemetry.retry(is_allowed);
         is_allowed
     }
 
     /// Closes old connections and forgets targets that are gone.
-    pub(crate) fn clean(&self) {
+    pub(crate) fn remove_stale(&self) {
         let now = self.now();
         let view = self.view.load();
         let listed = view.targets.values().flatten();
         let listed: HashSet<&TargetId> = listed.map(|target| &target.run).collect();
-        let mut known = self.known();
-        known
+        let mut routing = self.routing();
+        routing
             .slots
-            .retain(|id, slot| listed.contains(id) || slot.load.own() > 0);
-        for slot in known.slots.values_mut() {
-            slot.close_old(now);
+            .retain(|id, slot| listed.contains(id) || slot.load.own_requests() > 0);
+        for slot in routing.slots.values_mut() {
+            slot.close_expired(now);
         }
     }
 
-    fn with_budget<T>(&self, service: &ServiceId, f: impl FnOnce(&mut RetryShare) -> T) -> T {
+    fn with_budget<T>(&self, service: &ServiceId, f: impl FnOnce(&mut RetryBudget) -> T) -> T {
         let bounds = self.settings.bounds;
-        let mut known = self.known();
-        let share = known
+        let mut routing = self.routing();
+        let budget = routing
             .budgets
             .entry(service.clone())
-            .or_insert_with(|| RetryShare::new(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window));
-        f(share)
+            .or_insert_with(|| RetryBudget::new(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window));
+        f(budget)
     }
 }
--- a/components/gateway/src/traffic/stream_events.rs
+++ b/components/gateway/src/traffic/stream_events.rs
@@ -15,24 +15,24 @@
 /// Cuts a stream of events at their ends, so that another target can go on after the last whole one.
 ///
 /// ```
-/// use gateway::EventCutter;
+/// use gateway::EventSplitter;
 ///
-/// let mut cutter = EventCutter::default();
+/// let mut cutter = EventSplitter::default();
 /// assert_eq!(cutter.push(b"id: 1\ndata: a\n\nid: 2\nda"), "id: 1\ndata: a\n\n");
 /// assert_eq!(cutter.progress().last_event.as_deref(), Some("1"));
 /// assert!(!cutter.is_between_events());
 /// ```
 #[derive(Debug, Default)]
-pub struct EventCutter {
+pub struct EventSplitter {
     /// Bytes of an event that is not whole.
     buf: BytesMut,
     /// What was passed on.
     progress: Progress,
 }
 
-impl EventCutter {
+impl EventSplitter {
     /// Goes on after an event that the caller has already.
-    pub fn after(last_event: Option<String>) -> Self {
+    pub fn resume_after(last_event: Option<String>) -> Self {
         Self {
             buf: BytesMut::new(),
             progress: Progress {
@@ -55,7 +55,7 @@
             };
         };
         let whole = self.buf.split_to(end).freeze();
-        self.note(&whole);
+        self.count_events(&whole);
         whole
     }
 
@@ -75,11 +75,11 @@
     }
 
     /// Forgets what is held back, for a stream that goes on elsewhere.
-    pub fn drop_partial(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.buf.clear();
     }
 
-    fn note(&mut self, whole: &[u8]) {
+    fn count_events(&mut self, whole: &[u8]) {
         for line in whole.split(|b| *b == b'\n') {
             if line.is_empty() {
                 self.progress.events += 1;
--- a/components/gateway/tests/kept.rs
+++ b/components/gateway/tests/kept.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use gateway::{
-    KeptCache, KeptEvent, PartKey, PlanRequest, PromptPart, PromptShape, StoreAt, StoreChanges,
+    KeptCache, KeptEvent, PartKey, PlanRequest, PromptPart, PromptShape, RegionStore, StoreChanges,
     StoreDirectory, StoreList,
 };
 use support::ms;
@@ -44,10 +44,10 @@
     }
 }
 
-fn store(address: &str, is_near: bool) -> StoreAt {
-    StoreAt {
+fn store(address: &str, is_same_domain: bool) -> RegionStore {
+    RegionStore {
         address: address.into(),
-        is_near,
+        is_same_domain,
         capacity_tokens: 100_000,
     }
 }
@@ -55,11 +55,11 @@
 /// What a host knows that has heard everything at a moment: the declarations, the clock, and the stores' changes.
 fn informed(at: u64, heard: &[(&str, StoreChanges)]) -> KeptCache {
     let mut kept = KeptCache::default();
-    kept.note_declared(ms(at));
-    kept.note_clock(50_000, ms(at));
+    kept.record_declared(ms(at));
+    kept.record_clock(50_000, ms(at));
     for (address, changes) in heard {
         kept.store(&Arc::from(*address))
-            .take_changes(changes.clone(), ms(at), ms(at));
+            .apply_changes(changes.clone(), ms(at), ms(at));
     }
     kept
 }
@@ -68,37 +68,37 @@
 fn confirm(kept: &mut KeptCache, address: &str, epoch: u64, at: u64) {
     let next = kept.store(&address.into()).next();
     kept.store(&address.into())
-        .take_changes(changes(epoch, next, &[]), ms(at), ms(at));
+        .apply_changes(changes(epoch, next, &[]), ms(at), ms(at));
 }
 
 #[test]
 fn a_store_in_a_new_run_holds_nothing_of_before() {
-    let mut known = StoreDirectory::default();
-    known.take_changes(changes(1, 2, &["b"]), ms(0), ms(0));
-    assert!(known.holds(&key("b"), ms(10)));
-    known.take_changes(changes(2, 9, &["c"]), ms(0), ms(0));
-    assert!(!known.holds(&key("b"), ms(10)) && !known.holds(&key("c"), ms(10)));
-    assert_eq!(known.next(), 0);
+    let mut directory = StoreDirectory::default();
+    directory.apply_changes(changes(1, 2, &["b"]), ms(0), ms(0));
+    assert!(directory.holds(&key("b"), ms(10)));
+    directory.apply_changes(changes(2, 9, &["c"]), ms(0), ms(0));
+    assert!(!directory.holds(&key("b"), ms(10)) && !directory.holds(&key("c"), ms(10)));
+    assert_eq!(directory.next(), 0);
 }
 
 #[test]
 fn a_store_that_does_not_answer_holds_nothing_that_may_be_fetched() {
-    let mut known = StoreDirectory::default();
-    known.take_changes(changes(1, 2, &["b"]), ms(0), ms(0));
-    known.forget();
-    assert!(!known.holds(&key("b"), ms(10)));
+    let mut directory = StoreDirectory::default();
+    directory.apply_changes(changes(1, 2, &["b"]), ms(0), ms(0));
+    directory.clear();
+    assert!(!directory.holds(&key("b"), ms(10)));
 }
 
 #[test]
 fn a_gap_calls_for_a_list() {
-    let mut known = StoreDirectory::default();
+    let mut directory = StoreDirectory::default();
     let gap = StoreChanges {
         has_gap: true,
         ..changes(1, 2, &["b"])
     };
-    known.take_changes(gap, ms(0), ms(0));
-    assert!(known.needs_list());
-    known.take_list(
+    directory.apply_changes(gap, ms(0), ms(0));
+    assert!(directory.needs_list());
+    directory.apply_list(
         StoreList {
             epoch: 1,
             next: 5,
@@ -107,18 +107,25 @@
         ms(0),
         ms(0),
     );
-    assert!(known.holds(&key("c"), ms(10)) && !known.holds(&key("b"), ms(10)) && !known.needs_list());
-    assert_eq!(known.tokens(), 10);
+    assert!(
+        directory.holds(&key("c"), ms(10)) && !directory.holds(&key("b"), ms(10)) && !directory.needs_list()
+    );
+    assert_eq!(directory.tokens(), 10);
 }
 
-fn plan(kept: &mut KeptCache, stores: &[StoreAt], home: Option<&Arc<str>>, at: u64) -> gateway::CachePlan {
+fn plan(
+    kept: &mut KeptCache,
+    stores: &[RegionStore],
+    owner: Option<&Arc<str>>,
+    at: u64,
+) -> gateway::CachePlan {
     let prompt = prompt();
     let req = PlanRequest {
         prompt: &prompt,
         salt: "all/m/1",
         stores,
-        home,
-        is_current: true,
+        owner,
+        has_newest_weights: true,
     };
     kept.plan(&req, ms(at))
 }
@@ -152,7 +159,7 @@
     let nothing = [None, None, None];
     let mut silent_store = informed(0, &[("near", changes(1, 2, &["b"]))]);
     assert_ne!(fetch(&mut silent_store, 3_400), nothing);
-    silent_store.note_declared(ms(3_500));
+    silent_store.record_declared(ms(3_500));
     assert_eq!(fetch(&mut silent_store, 3_500), nothing);
     let mut no_declarations = informed(0, &[("near", changes(1, 2, &["b"]))]);
     confirm(&mut no_declarations, "near", 1, 3_900);
@@ -165,14 +172,14 @@
     let stores = [store("near", true)];
     let mut kept = informed(0, &[("near", changes(1, 2, &["b"]))]);
     confirm(&mut kept, "near", 1, 6_000);
-    kept.note_declared(ms(6_000));
+    kept.record_declared(ms(6_000));
     let prompt = prompt();
     let req = PlanRequest {
         prompt: &prompt,
         salt: "all/m/1",
         stores: &stores,
-        home: None,
-        is_current: false,
+        owner: None,
+        has_newest_weights: false,
     };
     assert_eq!(
         kept.plan(&req, ms(6_000)),
@@ -186,9 +193,9 @@
 
 #[test]
 fn what_no_store_holds_comes_from_the_engine_that_read_it() {
-    let home: Arc<str> = "10.0.0.1:80".into();
-    let plan = plan(&mut KeptCache::default(), &[], Some(&home), 0);
-    assert_eq!(plan.fetch, [Some(home.clone()), Some(home), None]);
+    let owner: Arc<str> = "10.0.0.1:80".into();
+    let plan = plan(&mut KeptCache::default(), &[], Some(&owner), 0);
+    assert_eq!(plan.fetch, [Some(owner.clone()), Some(owner), None]);
     assert_eq!(plan.save, [None, None, None]);
 }
 
@@ -215,23 +222,23 @@
 
 /// Passes on what a host lacks that was told everything before a number.
 fn pass_on(from: &StoreDirectory, to: &mut StoreDirectory, number: Option<u64>, at: u64) -> u64 {
-    let (news, next) = from.news_since(number, ms(at));
-    to.take_news(news, ms(at), ms(at));
+    let (update, next) = from.update_since(number, ms(at));
+    to.apply_update(update, ms(at), ms(at));
     next
 }
 
 #[test]
 fn a_host_learns_from_another_what_a_store_holds() {
     let (mut watcher, mut other) = (StoreDirectory::default(), StoreDirectory::default());
-    watcher.take_changes(changes(1, 3, &["a", "b"]), ms(1_000), ms(1_000));
+    watcher.apply_changes(changes(1, 3, &["a", "b"]), ms(1_000), ms(1_000));
     let next = pass_on(&watcher, &mut other, None, 2_000);
     assert!(other.holds(&key("a"), ms(4_400)) && other.holds(&key("b"), ms(4_400)));
     // As old as at the host that told it.
     assert!(!other.holds(&key("a"), ms(4_500)));
-    watcher.note_dropped(&[key("a")]);
-    watcher.take_changes(changes(1, 4, &["c"]), ms(4_000), ms(4_000));
-    let (news, _) = watcher.news_since(Some(next), ms(4_100));
-    assert_eq!((news.is_all, news.events.len()), (false, 2));
+    watcher.record_dropped(&[key("a")]);
+    watcher.apply_changes(changes(1, 4, &["c"]), ms(4_000), ms(4_000));
+    let (update, _) = watcher.update_since(Some(next), ms(4_100));
+    assert_eq!((update.is_all, update.events.len()), (false, 2));
     pass_on(&watcher, &mut other, Some(next), 4_100);
     assert!(!other.holds(&key("a"), ms(5_000)) && other.holds(&key("c"), ms(5_000)));
     assert_eq!(other.tokens(), watcher.tokens());
@@ -240,13 +247,13 @@
 #[test]
 fn a_store_that_restarted_holds_nothing_for_those_who_are_told_either() {
     let (mut watcher, mut other) = (StoreDirectory::default(), StoreDirectory::default());
-    watcher.take_changes(changes(1, 3, &["a", "b"]), ms(0), ms(0));
+    watcher.apply_changes(changes(1, 3, &["a", "b"]), ms(0), ms(0));
     let next = pass_on(&watcher, &mut other, None, 100);
-    watcher.forget();
+    watcher.clear();
     let next = pass_on(&watcher, &mut other, Some(next), 1_000);
-    assert!(!other.holds(&key("a"), ms(1_000)) && !other.takes_saves(ms(9_000)));
-    watcher.take_changes(changes(2, 0, &[]), ms(2_000), ms(2_000));
-    watcher.take_changes(changes(2, 1, &["c"]), ms(2_100), ms(2_100));
+    assert!(!other.holds(&key("a"), ms(1_000)) && !other.accepts_saves(ms(9_000)));
+    watcher.apply_changes(changes(2, 0, &[]), ms(2_000), ms(2_000));
+    watcher.apply_changes(changes(2, 1, &["c"]), ms(2_100), ms(2_100));
     pass_on(&watcher, &mut other, Some(next), 2_200);
     assert!(!other.holds(&key("a"), ms(2_300)) && other.holds(&key("c"), ms(2_300)));
 }
@@ -254,15 +261,15 @@
 #[test]
 fn a_host_that_is_far_behind_is_told_all_of_a_store() {
     let (mut watcher, mut other) = (StoreDirectory::default(), StoreDirectory::default());
-    watcher.take_changes(changes(1, 1, &["gone"]), ms(0), ms(0));
+    watcher.apply_changes(changes(1, 1, &["gone"]), ms(0), ms(0));
     let next = pass_on(&watcher, &mut other, None, 100);
-    watcher.note_dropped(&[key("gone")]);
+    watcher.record_dropped(&[key("gone")]);
     for number in 0..10_000u64 {
         let id = format!("p{}", number % 50);
-        watcher.take_changes(changes(1, number, &[&id]), ms(200), ms(200));
+        watcher.apply_changes(changes(1, number, &[&id]), ms(200), ms(200));
     }
-    let (news, _) = watcher.news_since(Some(next), ms(300));
-    assert!(news.is_all);
+    let (update, _) = watcher.update_since(Some(next), ms(300));
+    assert!(update.is_all);
     pass_on(&watcher, &mut other, Some(next), 300);
     assert!(!other.holds(&key("gone"), ms(300)));
     assert_eq!(other.tokens(), 50 * 8_000);
--- a/components/gateway/tests/overload.rs
+++ b/components/gateway/tests/overload.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use gateway::{
-    Candidate, Decision, Demand, LoadEstimate, LoadNote, Outcome, ReportedLoad, RetryShare, Work, decide,
+    Candidate, Decision, Demand, LoadEstimate, LoadNote, ReportedLoad, RetryBudget, SendOutcome, Work, decide,
 };
 use support::ms;
 
@@ -19,8 +19,8 @@
         waiting: 0.0,
         memory: (0.0, MEMORY),
         slots: 64,
-        reading: 0,
-        resident: 0.0,
+        prefill_backlog: 0,
+        cache_hit_chance: 0.0,
         latency_ms: 100.0,
         failures: 0.0,
         has_old_weights: false,
@@ -28,12 +28,12 @@
     }
 }
 
-fn prompt(rank: u8) -> Demand {
+fn prompt(priority: u8) -> Demand {
     Demand {
-        tokens: 12_000,
+        prompt_tokens: 12_000,
         shared_tokens: 9_000,
         memory: 12_000,
-        rank,
+        priority,
         latency_target: Duration::from_millis(800),
     }
 }
@@ -47,28 +47,28 @@
 
 #[test]
 fn a_returning_prompt_goes_where_its_cache_is() {
-    let home = Candidate {
-        resident: 0.9,
+    let owner = Candidate {
+        cache_hit_chance: 0.9,
         requests: 10.0,
-        reading: 8_000,
+        prefill_backlog: 8_000,
         ..engine()
     };
-    assert_eq!(sent(&prompt(2), &[engine(), home]), 1);
+    assert_eq!(sent(&prompt(2), &[engine(), owner]), 1);
 }
 
 #[test]
 fn a_hot_session_leaves_its_home_when_it_would_be_late() {
-    let home = Candidate {
-        resident: 0.9,
+    let owner = Candidate {
+        cache_hit_chance: 0.9,
         requests: 40.0,
-        reading: 60_000,
+        prefill_backlog: 60_000,
         ..engine()
     };
     let kept_by_a_store = Candidate {
-        resident: 0.85,
+        cache_hit_chance: 0.85,
         ..engine()
     };
-    assert_eq!(sent(&prompt(2), &[home, kept_by_a_store]), 1);
+    assert_eq!(sent(&prompt(2), &[owner, kept_by_a_store]), 1);
 }
 
 #[test]
@@ -79,7 +79,7 @@
         ..engine()
     };
     let fleet = vec![full; 14];
-    assert_eq!(decide(&prompt(2), &fleet, 0.5), Decision::Full);
+    assert_eq!(decide(&prompt(2), &fleet, 0.5), Decision::AllFull);
     assert!(matches!(decide(&prompt(0), &fleet, 0.5), Decision::Send(_)));
 }
 
@@ -100,7 +100,7 @@
     let full = Candidate {
         memory: (150_000.0, MEMORY),
         waiting: 5.0,
-        resident: 0.9,
+        cache_hit_chance: 0.9,
         ..engine()
     };
     assert_eq!(sent(&prompt(2), &[full, full, engine()]), 2);
@@ -110,7 +110,7 @@
 fn replaced_weights_serve_only_when_the_new_ones_are_late() {
     let old = Candidate {
         has_old_weights: true,
-        resident: 0.9,
+        cache_hit_chance: 0.9,
         ..engine()
     };
     assert_eq!(sent(&prompt(1), &[old, engine()]), 1);
@@ -123,10 +123,10 @@
         ..engine()
     };
     let plain = Demand {
-        tokens: 0,
+        prompt_tokens: 0,
         shared_tokens: 0,
         memory: 0,
-        rank: 0,
+        priority: 0,
         latency_target: Duration::from_millis(120),
     };
     assert_eq!(
@@ -152,7 +152,7 @@
         ..engine()
     };
     let plain = Demand {
-        tokens: 0,
+        prompt_tokens: 0,
         ..prompt(2)
     };
     assert!(matches!(decide(&plain, &[busy], 0.5), Decision::Send(_)));
@@ -163,13 +163,13 @@
     let mut load = LoadEstimate::default();
     let work = Work {
         memory: 12_000,
-        reading: 12_000,
+        prefill_tokens: 12_000,
     };
-    load.begin(work, ms(0));
-    load.begin(work, ms(100));
+    load.record_start(work, ms(0));
+    load.record_start(work, ms(100));
     assert_eq!(load.waiting(ms(200)), 0.0);
     assert_eq!(load.waiting(ms(400)), 2.0);
-    load.note_read(work.reading, ms(0));
+    load.record_first_byte(work.prefill_tokens, ms(0));
     assert_eq!(load.waiting(ms(400)), 1.0);
 }
 
@@ -181,7 +181,7 @@
         waiting: 10,
         slots: 64,
     };
-    load.note_load(note, ms(0));
+    load.record_answer_load(note, ms(0));
     assert_eq!(load.requests(8.0, ms(0)), 50.0);
     let faded = load.requests(8.0, ms(20_000));
     assert!((7.9..8.1).contains(&faded), "{faded}");
@@ -190,28 +190,28 @@
 #[test]
 fn a_target_that_can_not_be_reached_is_left_alone_longer_and_longer() {
     let mut load = LoadEstimate::default();
-    load.note(Outcome::Unreachable, ms(0));
+    load.record_outcome(SendOutcome::Unreachable, ms(0));
     assert!(load.is_paused(ms(299)) && !load.is_paused(ms(300)));
-    load.note(Outcome::Unreachable, ms(1_000));
+    load.record_outcome(SendOutcome::Unreachable, ms(1_000));
     assert!(load.is_paused(ms(1_599)) && !load.is_paused(ms(1_600)));
-    load.note(Outcome::Answered(ms(5)), ms(2_000));
-    load.note(Outcome::Unreachable, ms(3_000));
+    load.record_outcome(SendOutcome::Answered(ms(5)), ms(2_000));
+    load.record_outcome(SendOutcome::Unreachable, ms(3_000));
     assert!(!load.is_paused(ms(3_300)));
 }
 
 #[test]
 fn nine_hosts_together_keep_the_budget_of_repeats() {
     let (ratio, slack, window) = (0.2, 58.0, Duration::from_secs(10));
-    let mut hosts: Vec<_> = (0..9).map(|_| RetryShare::new(ratio, slack, window)).collect();
+    let mut hosts: Vec<_> = (0..9).map(|_| RetryBudget::new(ratio, slack, window)).collect();
     let mut taken = Vec::new();
     let mut requests = Vec::new();
     for step in 0..3_000u64 {
         let now = ms(10 * step);
         // Host 0 gets half of all requests; every request asks for a repeat.
         let host = if step % 2 == 0 { 0 } else { (step / 2 % 9) as usize };
-        hosts[host].note_request(now);
+        hosts[host].record_request(now);
         requests.push(now);
-        if hosts[host].take(9, now) {
+        if hosts[host].try_take(9, now) {
             taken.push(now);
         }
     }
@@ -234,7 +234,7 @@
     // A prompt that has to be read again costs more than a connection.
     let holder = Candidate {
         is_connected: false,
-        resident: 0.9,
+        cache_hit_chance: 0.9,
         ..engine()
     };
     assert_eq!(sent(&prompt(1), &[engine(), holder, engine()]), 1);
@@ -245,19 +245,19 @@
     let mut load = LoadEstimate::default();
     let own = Work {
         memory: 10_000,
-        reading: 0,
+        prefill_tokens: 0,
     };
-    load.begin(own, ms(900));
+    load.record_start(own, ms(900));
     let report = ReportedLoad {
         running: 7,
         waiting: 2,
         memory: 80_000,
     };
-    load.note_report(report, ms(1_000));
+    load.record_report(report, ms(1_000));
     assert!((load.memory(4_000.0, 0.0, ms(1_000)) - 80_000.0).abs() < 1.0);
     assert!((load.requests(0.0, ms(1_000)) - 9.0).abs() < 0.1);
     // Own sends count at once. Of what others have, half is as reported, half as 6.5 typical requests would take.
-    load.begin(own, ms(2_000));
+    load.record_start(own, ms(2_000));
     let later = load.memory(4_000.0, 5.0, ms(2_000));
     assert!((later - (20_000.0 + 35_000.0 + 13_000.0)).abs() < 1.0, "{later}");
 }
@@ -270,12 +270,12 @@
         waiting: 0,
         slots: 12,
     };
-    load.note_load(note, ms(2_000));
+    load.record_answer_load(note, ms(2_000));
     let report = ReportedLoad {
         running: 12,
         waiting: 9,
         memory: 0,
     };
-    load.note_report(report, ms(1_500));
+    load.record_report(report, ms(1_500));
     assert!((load.requests(0.0, ms(2_000)) - 3.0).abs() < 0.1);
 }
--- a/components/gateway/tests/quarantine.rs
+++ b/components/gateway/tests/quarantine.rs
@@ -54,10 +54,10 @@
 fn a_host_runs_a_request_no_more_after_two_crashes_and_again_after_a_success() {
     let mut crashes = Crashes::default();
     let bad = fingerprint("bad");
-    assert_eq!(crashes.note_crash(bad, ms(0)), 1);
+    assert_eq!(crashes.record_crash(bad, ms(0)), 1);
     assert!(!crashes.is_quarantined(&bad));
-    assert_eq!(crashes.note_crash(bad, ms(10)), 2);
+    assert_eq!(crashes.record_crash(bad, ms(10)), 2);
     assert!(crashes.is_quarantined(&bad));
-    crashes.note_success(&bad);
+    crashes.record_success(&bad);
     assert!(!crashes.is_quarantined(&bad));
 }
