--- a/components/gateway/src/budget.rs
+++ b/components/gateway/src/budget.rs
@@ -3,15 +3,15 @@
 
 use utils::Monotonic;
 
-/// Parts into which the window is divided.
+/// Buckets that the sliding window is divided into.
 const BUCKET_COUNT: u32 = 20;
-/// Share of the allowance that is spent; the rest covers hosts whose windows are shifted against each other.
+/// Share of the allowance that hosts spend. The rest covers hosts whose windows are offset from each other.
 const USABLE_SHARE: f64 = 0.8;
 
-/// Counts of one part of the window.
+/// Counts of one bucket of the window.
 #[derive(Debug, Clone, Copy, Default)]
 struct Bucket {
-    /// Number of the part since the start of time.
+    /// Number of bucket lengths since time zero.
     index: u64,
     /// Requests.
     requests: u32,
@@ -19,24 +19,25 @@
     retries: u32,
 }
 
-/// This host's part of a service's budget of repeats.
+/// This host's share of a service's retry budget.
 ///
-/// The allowance is a share of the requests of a sliding window, plus a slack for all hosts together. A host spends the
-/// share of its own requests and its even part of the slack, so all hosts together keep the bound without a common counter.
+/// The budget is a ratio of the requests of a sliding window, plus a slack for all hosts together. Each host
+/// spends the ratio of its own requests and an equal part of the slack. All hosts together stay within the
+/// budget without a shared counter.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
-    /// Repeats as a share of requests.
+    /// Retries allowed per request.
     ratio: f64,
-    /// Repeats beside that, for all hosts.
+    /// Further retries allowed for all hosts together in each window.
     slack: f64,
-    /// Length of a part of the window.
+    /// Length of a bucket.
     bucket_length: Duration,
-    /// Parts, oldest first.
+    /// Buckets of the window, oldest first.
     buckets: VecDeque<Bucket>,
 }
 
 impl RetryBudget {
-    /// A budget of nothing used.
+    /// Creates a budget without any use.
     ///
     /// ```
     /// use std::time::Duration;
@@ -56,12 +57,12 @@
         }
     }
 
-    /// Counts a request.
+    /// Counts a request in the current bucket.
     pub fn record_request(&mut self, now: Monotonic) {
         self.current_bucket(now).requests += 1;
     }
 
-    /// Takes a repeat if the allowance of this host has one left.
+    /// Takes a retry and returns true, if this host's share of `hosts` allows one more.
     pub fn try_take(&mut self, hosts: usize, now: Monotonic) -> bool {
         self.current_bucket(now);
         let requests: u32 = self.buckets.iter().map(|b| b.requests).sum();
--- a/components/gateway/src/kept.rs
+++ b/components/gateway/src/kept.rs
@@ -1,6 +1,8 @@
-//! Kept cache: which parts of prompts the stores hold, what a request fetches, and what it saves.
+//! Kept cache: KV cache of prompt parts in stores outside the engines. Covers the directories of the stores,
+//! and the plans of what a request fetches and saves.
 //!
-//! Answers prompts that return after an engine has dropped them: fetching a part costs a fraction of reading it again.
+//! Stores serve prompts that return after an engine has evicted them: fetching a part costs a fraction of
+//! computing it again.
 
 mod directory;
 mod plan;
--- a/components/gateway/src/kept/directory.rs
+++ b/components/gateway/src/kept/directory.rs
@@ -6,44 +6,44 @@
 
 use super::plan::FETCH_TIMEOUT;
 
-/// Age up to which what a store has said is relied upon. Covers the store's longest wait, the pauses between questions to it and
-/// to the host that passes its changes on, and a lost packet.
+/// Age up to which a store's state is used. Covers the store's longest wait, the pauses between requests to
+/// it and to the host that forwards its changes, and a lost packet.
 pub(crate) const MAX_CONFIRMED_AGE: Duration = Duration::from_millis(3_500);
-/// Time after which no fetch is under way any more that relies on what a store held before it was away.
+/// Time after a store's restart in which a fetch based on its earlier content may still be running.
 pub(crate) const SAVE_DELAY_AFTER_RESTART: Duration = Duration::from_millis(500)
     .saturating_add(MAX_CONFIRMED_AGE)
     .saturating_add(FETCH_TIMEOUT);
-/// Changes that are remembered to be passed on; a host that is further behind gets all.
+/// Changes kept for other hosts; a host that is further behind receives the whole content.
 const MAX_LOG_EVENTS: usize = 8_192;
 
-/// Names a part under a salt.
+/// Identifies a prompt part under a salt.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct PartKey {
-    /// The salt.
+    /// Salt of the cache that the part belongs to.
     pub salt: Box<str>,
-    /// The part.
+    /// Id of the part.
     pub id: Box<str>,
 }
 
-/// A change that a store tells of.
+/// A change of a store's content.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct KeptEvent {
     /// The part.
     pub key: PartKey,
-    /// Its tokens if the store holds it now; `None` if it was dropped.
+    /// Tokens of the part if the store now holds it; `None` if it was dropped.
     pub stored: Option<u32>,
 }
 
-/// What a store says has changed.
+/// A store's answer to a request for changes.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct StoreChanges {
-    /// Run of the store; another one has nothing of what this one held.
+    /// Run of the store; a new run holds nothing of the previous one.
     pub epoch: u64,
-    /// Where the next question goes on.
+    /// Number of the change that the next request starts from.
     pub next: u64,
-    /// Whether changes before these are forgotten.
+    /// Whether the store has discarded changes before these.
     pub has_gap: bool,
     /// The changes, oldest first.
     pub events: Vec<KeptEvent>,
@@ -51,75 +51,77 @@
     pub clock_ms: Option<u64>,
 }
 
-/// All that a store holds.
+/// The whole content of a store.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct StoreList {
     /// Run of the store.
     pub epoch: u64,
-    /// Where the next question for changes goes on.
+    /// Number of the change that the next request for changes starts from.
     pub next: u64,
     /// Whole parts with their tokens.
     pub parts: Vec<(PartKey, u32)>,
 }
 
-/// What a host that follows a store passes on to one that does not.
+/// State of a store that a host following it sends to a host that does not.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct StoreUpdate {
     /// Run of the store; `None` while it does not answer.
     pub epoch: Option<u64>,
-    /// Time since the store was asked for what is told here.
+    /// Time since the store was asked for this state.
     pub age: Duration,
-    /// Whether `events` are all that the store holds, and not what has changed.
+    /// Whether `events` give the whole content of the store, not only changes.
     pub is_all: bool,
-    /// Parts that came and went, oldest first.
+    /// Parts that were stored and dropped, oldest first.
     pub events: Vec<KeptEvent>,
 }
 
-/// What is known of one store. Only parts that the store has reported whole, in the run that still answers, are listed: a part
-/// that is being written must not be read.
+/// This host's cached state of one store. It lists only parts that the store has reported as whole in its
+/// current run, because a part that is still being written must not be read.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct StoreDirectory {
-    /// Run of the store and when this host first heard of it, while it answers.
+    /// Run of the store and the time at which this host first received it; `None` while the store does not
+    /// answer.
     run: Option<(u64, Monotonic)>,
-    /// Where the next question goes on.
+    /// Number of the change that the next request starts from.
     next: u64,
-    /// Whether the store has to be listed, as changes were missed.
+    /// Whether changes were missed, which requires a list of the store's content.
     needs_list: bool,
     /// Whole parts with their tokens.
     parts: HashMap<PartKey, u32>,
-    /// Sum of their tokens.
+    /// Sum of the tokens of all parts.
     tokens: u64,
-    /// When the store was last asked for what is known.
+    /// Time of the last request to the store that this state includes.
     confirmed_at: Monotonic,
-    /// Changes that are remembered, oldest first, and the number of the first.
+    /// Latest changes, oldest first.
     log: VecDeque<KeptEvent>,
-    /// Number of the first remembered change.
+    /// Number of the first change in `log`.
     log_start: u64,
 }
 
 impl StoreDirectory {
-    /// Where the next question for changes goes on.
+    /// Returns the number of the change that the next request to the store starts from.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// Whether changes were missed, so that the store has to be listed.
+    /// Whether changes were missed, which requires a list of the store's content.
     pub fn needs_list(&self) -> bool {
         self.needs_list
     }
 
-    /// Run of the store, while it answers.
+    /// Returns the run of the store; `None` while it does not answer.
     pub fn epoch(&self) -> Option<u64> {
         self.run.map(|(epoch, _)| epoch)
     }
 
-    /// When this host first heard of the store's run.
+    /// Returns the time at which this host first received the store's run.
     pub fn run_since(&self) -> Option<Monotonic> {
         self.run.map(|(_, since)| since)
     }
 
-    /// Whether parts may be saved: a host that has not noticed a restart yet could fetch what is just being written.
+    /// Whether parts may be saved to the store. Saves wait after a restart: a host that has not noticed it
+    /// yet could fetch a part that is still being written.
     pub fn accepts_saves(&self, now: Monotonic) -> bool {
         let is_settled = self
             .run_since()
@@ -127,7 +129,7 @@
         is_settled && self.is_fresh(now)
     }
 
-    /// Whether the store is known to hold a part whole.
+    /// Whether a recent state of the store lists the part as whole.
     pub fn holds(&self, key: &PartKey, now: Monotonic) -> bool {
         self.is_fresh(now) && self.parts.contains_key(key)
     }
@@ -136,26 +138,27 @@
         now < self.confirmed_at + MAX_CONFIRMED_AGE
     }
 
-    /// Parts that the store holds.
+    /// Returns the parts in the last state of the store.
     pub fn parts(&self) -> impl Iterator<Item = &PartKey> {
         self.parts.keys()
     }
 
-    /// Tokens that the store holds, as far as is known.
+    /// Returns the tokens in the last state of the store.
     pub fn tokens(&self) -> u64 {
         self.tokens
     }
 
-    /// The store did not answer: it may have restarted since, so nothing that it held counts.
+    /// Clears the directory of a store that did not answer. The store may have restarted and lost its
+    /// content.
     pub fn clear(&mut self) {
         *self = Self {
-            // Beyond all numbers that were told, so that every host asks for all.
+            // Above every number sent so far, which makes every host request the whole content.
             log_start: self.log_end() + 1,
             ..Self::default()
         };
     }
 
-    /// Takes changes that the store was asked for at a moment.
+    /// Applies the changes that the store was asked for at `asked_at`.
     pub fn apply_changes(&mut self, changes: StoreChanges, asked_at: Monotonic, now: Monotonic) {
         self.confirmed_at = asked_at;
         if self.epoch() != Some(changes.epoch) {
@@ -174,7 +177,7 @@
         }
     }
 
-    /// Takes a list that the store was asked for at a moment.
+    /// Replaces the content by a list that the store was asked for at `asked_at`.
     pub fn apply_list(&mut self, list: StoreList, asked_at: Monotonic, now: Monotonic) {
         let run = self.run.filter(|(epoch, _)| *epoch == list.epoch);
         self.clear();
@@ -186,7 +189,7 @@
         }
     }
 
-    /// Parts that this host has had dropped.
+    /// Removes parts that the store has dropped at this host's request.
     pub fn record_dropped(&mut self, keys: &[PartKey]) {
         for key in keys {
             self.apply_event(KeptEvent {
@@ -196,7 +199,8 @@
         }
     }
 
-    /// What a host lacks that was told all changes before a number, or nothing yet; and the number to ask from next.
+    /// Returns the changes from `number` on, or the whole content if they are no longer in the log or
+    /// `number` is `None`; and the number that the next call starts from.
     pub fn update_since(&self, number: Option<u64>, now: Monotonic) -> (StoreUpdate, u64) {
         let skipped = number.and_then(|number| number.checked_sub(self.log_start));
         let events = match skipped {
@@ -212,12 +216,12 @@
         (update, self.log_end())
     }
 
-    /// Takes what another host passed on, which was asked at a moment.
+    /// Applies an update that another host was asked for at `asked_at`.
     pub fn apply_update(&mut self, update: StoreUpdate, asked_at: Monotonic, now: Monotonic) {
         let Some(epoch) = update.epoch else {
             return self.clear();
         };
-        let run = self.run.filter(|(known, _)| *known == epoch);
+        let run = self.run.filter(|(current, _)| *current == epoch);
         if update.is_all {
             self.clear();
         }
--- a/components/gateway/src/kept/plan.rs
+++ b/components/gateway/src/kept/plan.rs
@@ -7,101 +7,102 @@
 use super::directory::{PartKey, StoreDirectory};
 use crate::PromptShape;
 
-/// Time after which a save that was not reported whole is tried again.
+/// Time after which a part is saved again if no store has reported it as whole.
 const SAVE_RETRY_DELAY: Duration = Duration::from_secs(4);
-/// Shortest part that is worth a transfer.
+/// Shortest part that is worth a transfer, in tokens.
 const MIN_PART_TOKENS: u32 = 64;
-/// Longest time for a fetch to end; the prompt is read instead after it.
+/// Time limit of a fetch; after it the engine computes the part.
 pub(crate) const FETCH_TIMEOUT: Duration = Duration::from_millis(700);
-/// Age up to which what is declared is relied upon for fetches. Covers the longest wait of the platform's store for a change.
+/// Age up to which the declarations are used for fetches. Covers the longest wait of the platform's store for
+/// a change.
 const MAX_DECLARED_AGE: Duration = Duration::from_millis(4_000);
-/// Time after weights were named after which nobody fetches any more what older ones have made: hosts that know of the new ones
-/// don't, nor do those that have not heard from the platform's store for so long.
+/// Time after the declaration of new weights from which no host fetches the cache of replaced ones: hosts
+/// that have received the declaration do not, nor do hosts whose declarations are too old.
 pub(crate) const OLD_WEIGHTS_DROP_DELAY: Duration = Duration::from_millis(700)
     .saturating_add(MAX_DECLARED_AGE)
     .saturating_add(FETCH_TIMEOUT);
-/// Saves remembered before old ones are forgotten.
+/// Saves remembered before expired ones are removed.
 const MAX_REMEMBERED_SAVES: usize = 20_000;
 
-/// A store as it is declared.
+/// A store of kept cache, as seen from an engine in its region.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RegionStore {
-    /// Its address.
+    /// The store's address.
     pub address: Arc<str>,
-    /// Whether it stands in the engine's failure domain.
+    /// Whether the store is in the engine's failure domain.
     pub is_same_domain: bool,
-    /// Tokens that it holds.
+    /// Tokens that the store can hold.
     pub capacity_tokens: u64,
 }
 
-/// What a request fetches and saves; one entry for each part of its prompt.
+/// Where a request fetches and saves cache, with one entry for each part of its prompt.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct CachePlan {
-    /// Where each part is fetched from.
+    /// Address of the store or engine that each part is fetched from.
     pub fetch: Vec<Option<Arc<str>>>,
-    /// Where each part is saved.
+    /// Address of the store that each part is saved to.
     pub save: Vec<Option<Arc<str>>>,
-    /// Until when a fetch may take, on the servers' clock in milliseconds.
+    /// Deadline of the fetches, on the servers' clock in milliseconds.
     pub fetch_until_ms: Option<u64>,
 }
 
-/// A request for which a plan is made.
+/// A request to plan for, with the chosen engine's surroundings.
 #[derive(Debug, Clone, Copy)]
 pub struct PlanRequest<'a> {
-    /// Its prompt.
+    /// The prompt.
     pub prompt: &'a PromptShape,
-    /// Its salt.
+    /// Salt of the request's cache.
     pub salt: &'a str,
     /// Stores in the engine's region.
     pub stores: &'a [RegionStore],
-    /// An engine in the region that is likely to hold the prompt, if it is not the one chosen.
+    /// Address of an engine in the region that is likely to hold the prompt, if it is not the chosen one.
     pub owner: Option<&'a Arc<str>>,
-    /// Whether the engine has the newest weights; what replaced weights made is neither saved nor fetched from a store, so that
-    /// it can be dropped soon.
+    /// Whether the engine has the newest weights. Cache made by replaced weights is neither saved nor fetched
+    /// from a store, which allows the stores to drop it soon.
     pub has_newest_weights: bool,
 }
 
-/// What this host knows of all stores.
+/// This host's cached state of all stores of kept cache.
 #[derive(Debug, Default)]
 pub struct KeptCache {
-    /// Directories by address.
+    /// Directories of the stores by address.
     stores: HashMap<Arc<str>, StoreDirectory>,
-    /// When saves were asked for.
+    /// Time of the last save of each part.
     recent_saves: HashMap<PartKey, Monotonic>,
-    /// The servers' clock less the own one, in milliseconds.
+    /// Offset of the servers' clock from this host's, in milliseconds.
     clock_offset_ms: Option<i64>,
-    /// When the platform's store last answered what is declared.
+    /// Time of the platform's last answer with the declarations.
     declared_confirmed_at: Option<Monotonic>,
 }
 
 impl KeptCache {
-    /// The directory of a store.
+    /// Returns the directory of a store.
     pub fn store(&mut self, address: &Arc<str>) -> &mut StoreDirectory {
         self.stores.entry(address.clone()).or_default()
     }
 
-    /// The platform's store has answered what is declared.
+    /// Records that the platform's store has answered with the declarations.
     pub fn record_declared(&mut self, now: Monotonic) {
         self.declared_confirmed_at = Some(now);
     }
 
-    /// The servers' clock at a moment, if it was heard of.
+    /// Returns the servers' clock at `now`; `None` before it was first received.
     pub fn clock_ms(&self, now: Monotonic) -> Option<u64> {
         let offset = self.clock_offset_ms?;
         Some((now.as_millis() as i64 + offset).max(0) as u64)
     }
 
-    /// Takes the servers' clock.
+    /// Records the servers' clock.
     pub fn record_clock(&mut self, clock_ms: u64, now: Monotonic) {
         self.clock_offset_ms = Some(clock_ms as i64 - now.as_millis() as i64);
     }
 
-    /// Forgets the stores that are not declared any more.
+    /// Removes the directories of stores that are no longer declared.
     pub fn retain(&mut self, declared: impl Fn(&str) -> bool) {
         self.stores.retain(|address, _| declared(address));
     }
 
-    /// Whether a store of the list holds the session's part, made by weights that are the newest.
+    /// Whether one of the stores holds the session's part under the salt.
     pub fn is_stored(
         &self,
         prompt: &PromptShape,
@@ -116,11 +117,11 @@
         self.store_with(&key, stores, now).is_some()
     }
 
-    /// What a request fetches and saves. Parts come from a store that holds them whole, else from the engine that is
-    /// likely to have them; what no store of the region holds is saved.
+    /// Plans what a request fetches and saves. Parts come from a store that holds them whole, else from the
+    /// engine that is likely to have them. Parts that no store of the region holds are saved.
     pub fn plan(&mut self, req: &PlanRequest<'_>, now: Monotonic) -> CachePlan {
         let mut plan = CachePlan::default();
-        // The last part is the request's own and does not return.
+        // The last part is unique to the request and is not used again.
         let shared = req.prompt.parts.len().saturating_sub(1);
         for (i, part) in req.prompt.parts.iter().enumerate() {
             let is_worth_transfer = i < shared && part.tokens >= MIN_PART_TOKENS;
@@ -142,8 +143,8 @@
         plan
     }
 
-    /// A store from which a part may be fetched: without the servers' clock a fetch could not be bounded, and a host that has not
-    /// heard lately what is declared may not know that weights were replaced.
+    /// Returns a store to fetch a part from. Without the servers' clock a fetch has no deadline, and with old
+    /// declarations the host may not have received a replacement of the weights; both rule out a fetch.
     fn store_with<'a>(
         &self,
         key: &PartKey,
@@ -168,7 +169,8 @@
         found.map(|store| &store.address)
     }
 
-    /// The store for a part: near the engine, by capacity, the same on every host.
+    /// Chooses the store that a part is saved to, by rendezvous hash weighted with the capacity. Stores in
+    /// the engine's failure domain come first. Hosts with the same state choose the same store.
     fn choose_store(&mut self, key: &PartKey, stores: &[RegionStore], now: Monotonic) -> Option<Arc<str>> {
         if self
             .recent_saves
@@ -200,7 +202,7 @@
     }
 }
 
-/// Rendezvous hashing by capacity.
+/// Returns the store's score for a part in rendezvous hashing weighted by capacity.
 fn weight(key: &PartKey, store: &RegionStore) -> f64 {
     let score = rendezvous_score(key.id.as_bytes(), &store.address);
     let unit = (score as f64 + 1.0) / (u64::MAX as f64 + 2.0);
@@ -214,7 +216,7 @@
     }
 }
 
-/// Stores in the region of an engine.
+/// Returns the stores in the region of a failure domain.
 pub(crate) fn region_stores<'a>(
     stores: impl Iterator<Item = &'a crate::StoreSpec>,
     domain: &str,
--- a/components/gateway/src/kept/salt.rs
+++ b/components/gateway/src/kept/salt.rs
@@ -1,9 +1,10 @@
 use crate::Workspace;
 
-/// Stands for all workspaces that share their cache.
+/// Scope of all workspaces that share their cache.
 const SHARED: &str = "all";
 
-/// Name under which cache is kept and found: the workspace if it is isolated, the model, and the weight version.
+/// Returns the salt that cache is stored and found under: the workspace if it is isolated, the model, and the
+/// weight version.
 ///
 /// ```
 /// assert_eq!(gateway::salt_of(None, "m", 3), "all/m/3");
@@ -15,14 +16,14 @@
     format!("{wall}/{model}/{weights}")
 }
 
-/// The weight version of a salt, if it belongs to the model.
+/// Returns the weight version of a salt, if the salt belongs to the model.
 pub fn weights_of_salt(salt: &str, model: &str) -> Option<u64> {
     let (rest, weights) = salt.rsplit_once('/')?;
     let (_, of) = rest.rsplit_once('/')?;
     (of == model).then(|| weights.parse().ok())?
 }
 
-/// Who shares cache with a workspace.
+/// Returns the scope in which a workspace shares cache: its own name if it is isolated.
 pub(crate) fn cache_scope(workspace: Option<&Workspace>) -> &str {
     workspace
         .filter(|workspace| workspace.is_isolated)
--- a/components/gateway/src/load.rs
+++ b/components/gateway/src/load.rs
@@ -5,93 +5,93 @@
 
 use crate::LoadNote;
 
-/// Weight of a new sample in the running averages.
+/// Weight of a new sample in the exponentially weighted averages.
 const SAMPLE_WEIGHT: f64 = 0.1;
-/// Age at which a report counts half, and what is typical the other half.
+/// Age at which a report and the expected load weigh the same.
 const REPORT_HALF_LIFE: Duration = Duration::from_millis(1_000);
-/// Time without a first byte after which a request is taken to wait at its target.
+/// Time without a first byte after which a request counts as waiting at its target.
 const OVERDUE_AFTER: Duration = Duration::from_millis(250);
-/// First pause after a target could not be reached.
+/// First pause after a target was unreachable; it doubles with each further failure.
 const INITIAL_PAUSE: Duration = Duration::from_millis(300);
-/// Longest pause after a target could not be reached.
+/// Longest pause after a target was unreachable.
 const MAX_PAUSE: Duration = Duration::from_secs(3);
-/// Pause after a target turned a request away because it was full.
+/// Pause after a target rejected a request because it was full.
 const FULL_PAUSE: Duration = Duration::from_millis(150);
-/// Pause after a target turned a request away because it changes its weights.
+/// Pause after a target rejected a request because it was loading newer weights.
 const LOADING_PAUSE: Duration = Duration::from_millis(1_000);
 /// Latency assumed before the first answer, in milliseconds.
 const DEFAULT_LATENCY_MS: f64 = 20.0;
 
-/// How a send ended, as far as it says something of the target.
+/// The result of a send, as far as it concerns the target's load and health.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum SendOutcome {
-    /// It answered well, this long after the send.
+    /// The target answered without a failure; holds the time from the send to the first byte.
     Answered(Duration),
-    /// It answered with a failure of its own.
+    /// The target answered with a server error, or the connection broke after the request was sent.
     Failed,
-    /// It turned the request away without running it.
+    /// The target rejected the request without running it.
     Rejected,
-    /// As [`SendOutcome::Rejected`], while newer weights are named than it has.
+    /// As [`SendOutcome::Rejected`], from a target whose weights have been replaced by newer ones.
     LoadingWeights,
-    /// No connection, or the connection broke off.
+    /// No connection to the target could be opened.
     Unreachable,
 }
 
-/// What a request takes of an engine.
+/// Resources that a request uses at an engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Work {
-    /// Tokens of memory that it needs until its end.
+    /// Tokens of engine memory that the request holds until it ends.
     pub memory: u64,
-    /// Prompt tokens that have to be read.
+    /// Prompt tokens that the engine has to prefill.
     pub prefill_tokens: u64,
 }
 
-/// What an engine says of its load when it is asked.
+/// The load that an engine reports when it is asked.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ReportedLoad {
-    /// Requests that run.
+    /// Requests that the engine is running.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests that wait in the engine's queue.
     pub waiting: u32,
-    /// Tokens of memory that are taken and can not yield.
+    /// Tokens of engine memory that are in use and can not be evicted.
     pub memory: u64,
 }
 
-/// What a host knows of a target's load and health: its own sends, and what the target says with its answers.
+/// Estimates a target's load and health from this host's own sends and from the load that the target reports.
 ///
-/// Reports lag, and several hosts see the same idle target at once; own sends since the report are therefore added, and what
-/// others run fades with the report's age.
+/// Reports are delayed, and several hosts see the same idle target at once. The estimate therefore adds the
+/// own sends since the report, and the reported load of other hosts decays with the report's age.
 #[derive(Debug, Clone, Default)]
 pub struct LoadEstimate {
-    /// Own requests that the target has.
+    /// Requests of this host that are in flight at the target.
     own_requests: u32,
-    /// Memory of own requests, in tokens.
+    /// Memory that this host's requests hold, in tokens.
     own_memory: u64,
-    /// Prompt tokens of own requests that have not got their first token.
+    /// Prompt tokens of this host's requests that have not received their first byte.
     own_prefill_tokens: u64,
-    /// When own requests were sent that have not got their first byte.
+    /// Send times of this host's requests that have not received their first byte.
     unanswered: Vec<Monotonic>,
-    /// Requests of other hosts as of the last report, and when it came.
+    /// Requests of other hosts at the time of the last report.
     other_requests: f64,
-    /// Requests that waited as of the last report.
+    /// Requests that waited at the time of the last report.
     waiting: f64,
-    /// When the last report came.
+    /// Time of the last report, from an answer or from the engine.
     reported_at: Monotonic,
-    /// Memory that requests of other hosts take as of the last report that told memory, in tokens, and when it came.
+    /// Memory that requests of other hosts hold, in tokens, and the time of the engine's report that gave it.
     other_memory: Option<(f64, Monotonic)>,
-    /// Running average of the time to an answer.
+    /// Exponentially weighted average of the time to an answer, in milliseconds.
     latency_ms: Option<f64>,
-    /// Running share of failures.
+    /// Exponentially weighted share of sends that failed.
     failures: f64,
-    /// No sends before this moment.
+    /// Time until which no request is sent to the target.
     paused_until: Monotonic,
-    /// Pauses in a row.
+    /// Times that the target was unreachable since its last good answer.
     consecutive_pauses: u32,
 }
 
 impl LoadEstimate {
-    /// A request is sent.
+    /// Records that a request is sent.
     pub fn record_start(&mut self, work: Work, now: Monotonic) {
         self.own_requests += 1;
         self.unanswered.push(now);
@@ -99,7 +99,7 @@
         self.own_prefill_tokens += work.prefill_tokens;
     }
 
-    /// The first byte has come of a request, or its end: the target has read the prompt.
+    /// Records the first byte of a request's answer, or the end of the request: its prompt is prefilled.
     pub fn record_first_byte(&mut self, tokens: u64, sent_at: Monotonic) {
         self.own_prefill_tokens = self.own_prefill_tokens.saturating_sub(tokens);
         if let Some(found) = self.unanswered.iter().position(|at| *at == sent_at) {
@@ -107,13 +107,13 @@
         }
     }
 
-    /// The request is over.
+    /// Records that a request has ended.
     pub fn record_end(&mut self, work: Work) {
         self.own_requests = self.own_requests.saturating_sub(1);
         self.own_memory = self.own_memory.saturating_sub(work.memory);
     }
 
-    /// Takes the load that came with an answer.
+    /// Records the load that the target reported with an answer.
     pub fn record_answer_load(&mut self, note: LoadNote, now: Monotonic) {
         let all = f64::from(note.running + note.waiting);
         self.other_requests = (all - f64::from(self.own_requests)).max(0.0);
@@ -121,7 +121,8 @@
         self.reported_at = now;
     }
 
-    /// Takes what an engine has reported at a moment; an answer that came later says more of its requests.
+    /// Records the load that an engine reported at time `at`. The counts of requests are used only if no
+    /// later answer has reported any.
     pub fn record_report(&mut self, load: ReportedLoad, at: Monotonic) {
         let memory = load.memory.saturating_sub(self.own_memory) as f64;
         self.other_memory = Some((memory, at));
@@ -135,13 +136,13 @@
         }
     }
 
-    /// Takes the end of a send.
+    /// Records the result of a send in the latency, the failures and the pauses.
     pub fn record_outcome(&mut self, outcome: SendOutcome, now: Monotonic) {
         let failed = match outcome {
-            SendOutcome::Answered(took) => {
-                let ms = took.as_secs_f64() * 1e3;
-                let known = self.latency_ms.unwrap_or(ms);
-                self.latency_ms = Some(known + SAMPLE_WEIGHT * (ms - known));
+            SendOutcome::Answered(elapsed) => {
+                let ms = elapsed.as_secs_f64() * 1e3;
+                let average = self.latency_ms.unwrap_or(ms);
+                self.latency_ms = Some(average + SAMPLE_WEIGHT * (ms - average));
                 self.consecutive_pauses = 0;
                 0.0
             }
@@ -164,24 +165,27 @@
         self.failures += SAMPLE_WEIGHT * (failed - self.failures);
     }
 
-    /// Whether the target is left alone for now.
+    /// Whether the target currently gets no requests unless no other target is left.
     pub fn is_paused(&self, now: Monotonic) -> bool {
         now < self.paused_until
     }
 
-    /// Requests that the target is thought to have, if other hosts typically have `typical` at a target.
+    /// Returns the estimated number of requests at the target. `expected_others` is the number of requests of
+    /// other hosts that is assumed without a recent report.
     pub fn requests(&self, expected_others: f64, now: Monotonic) -> f64 {
         f64::from(self.own_requests) + self.other_requests(expected_others, now)
     }
 
-    /// Requests that are thought to wait for their turn: reported ones, or own ones that are overdue.
+    /// Returns the estimated number of queued requests: the reported ones, or this host's overdue ones if
+    /// those are more.
     pub fn waiting(&self, now: Monotonic) -> f64 {
         let is_overdue = |at: &&Monotonic| now > **at + OVERDUE_AFTER;
         let overdue = self.unanswered.iter().filter(is_overdue).count();
         (self.waiting * self.report_weight(now)).max(overdue as f64)
     }
 
-    /// Memory that is thought to be taken, in tokens, if a request of another host takes `each`.
+    /// Returns the estimated memory in use, in tokens. `memory_per_request` is the memory assumed for a
+    /// request of another host.
     pub fn memory(&self, memory_per_request: f64, expected_others: f64, now: Monotonic) -> f64 {
         let counted = self.other_requests(expected_others, now) * memory_per_request;
         let others = self.other_memory.map_or(counted, |(memory, at)| {
@@ -191,44 +195,44 @@
         self.own_memory as f64 + others
     }
 
-    /// Memory of own requests, in tokens.
+    /// Returns the memory that this host's requests hold, in tokens.
     pub fn own_memory(&self) -> u64 {
         self.own_memory
     }
 
-    /// Requests of other hosts: what the last report said, the less the older it is.
+    /// Returns the estimated requests of other hosts, weighting the last report by its age.
     fn other_requests(&self, expected_others: f64, now: Monotonic) -> f64 {
         let weight = self.report_weight(now);
         self.other_requests * weight + expected_others * (1.0 - weight)
     }
 
-    /// What a report counts at its age.
+    /// Returns the weight of the last report, from 1 when it is new towards 0.
     fn report_weight(&self, now: Monotonic) -> f64 {
         report_weight_at(self.reported_at, now)
     }
 
-    /// Prompt tokens that the target has to read before a new request's.
+    /// Returns the prompt tokens of this host that the target has to prefill before those of a new request.
     pub fn prefill_backlog(&self) -> u64 {
         self.own_prefill_tokens
     }
 
-    /// Own requests that the target has.
+    /// Returns the number of this host's requests in flight at the target.
     pub fn own_requests(&self) -> u32 {
         self.own_requests
     }
 
-    /// Average time to an answer, in milliseconds.
+    /// Returns the average time to an answer, in milliseconds.
     pub fn latency_ms(&self) -> f64 {
         self.latency_ms.unwrap_or(DEFAULT_LATENCY_MS)
     }
 
-    /// Running share of failures.
+    /// Returns the exponentially weighted share of sends that failed.
     pub fn failures(&self) -> f64 {
         self.failures
     }
 }
 
-/// What a report from a moment counts now.
+/// Returns the weight of a report made at `at`: 0.5 to the power of its age in half-lives.
 fn report_weight_at(at: Monotonic, now: Monotonic) -> f64 {
     let age = now.saturating_sub(at).as_secs_f64();
     0.5f64.powf(age / REPORT_HALF_LIFE.as_secs_f64())
--- a/components/gateway/src/placement.rs
+++ b/components/gateway/src/placement.rs
@@ -2,110 +2,113 @@
 
 use serde::Serialize;
 
-/// Prompt tokens that an engine reads in a millisecond.
+/// Prompt tokens that an engine prefills in a millisecond.
 const PREFILL_TOKENS_PER_MS: f64 = 80.0;
-/// Time from an idle engine's first look at a read prompt to its first token, in milliseconds.
+/// Time from the end of the prefill at an idle engine to the first token, in milliseconds.
 const FIRST_TOKEN_MS: f64 = 45.0;
-/// Time by which each running request delays the others' tokens and reads, in milliseconds.
+/// Time by which each running request delays the tokens and the prefill of others, in milliseconds.
 const DELAY_PER_REQUEST_MS: f64 = 2.0;
-/// Time until a waiting request's prompt is read, in milliseconds.
+/// Delay for each request that waits at the engine already, in milliseconds.
 const WAITING_MS: f64 = 50.0;
-/// Cost of reading a thousand tokens again, against an average request's worth.
+/// Cost of recomputing a thousand tokens, in units of an average request's value.
 const RECOMPUTE_COST_PER_1000: f64 = 0.25;
-/// Share of the latency target at which an answer is not yet at risk to be late.
+/// Share of the latency target up to which an answer has no risk of being late.
 const SAFE_LATENCY_SHARE: f64 = 0.4;
-/// Cost of an answer that is sure to be late.
+/// Cost of an answer that is certain to be late.
 const LATE_COST: f64 = 0.8;
-/// Cost of each latency target of waiting, however early the answer is.
+/// Cost of an expected time as long as the latency target; proportional, also for answers in time.
 const WAIT_COST: f64 = 0.3;
-/// Cost of an answer made by weights that have been replaced: the part of its worth that is lost, and a little more.
+/// Cost of an answer by replaced weights: the share of its value that is lost, plus a small margin.
 const OLD_WEIGHTS_COST: f64 = 0.25;
-/// Cost of a failure.
+/// Cost of a failed request.
 const FAILURE_COST: f64 = 1.0;
-/// Costs of carrying a request and its answer to another failure domain and to another region.
+/// Costs of sending a request and its answer within the failure domain, to another failure domain of the
+/// region, and to another region.
 const TRANSFER_COST: [f64; 3] = [0.0, 0.02, 0.08];
 /// Cost of opening a connection.
 const CONNECT_COST: f64 = 0.05;
-/// Round trips to the same failure domain, another one of the region, and another region, in milliseconds.
+/// Round trip times within the failure domain, to another one of the region, and to another region, in
+/// milliseconds.
 const ROUND_TRIP_MS: [f64; 3] = [0.2, 3.0, 17.0];
 
-/// Share of an engine's memory that requests of each rank may fill: the less urgent leave room for the urgent.
+/// Share of an engine's memory that requests of each priority may fill. Less urgent requests leave room for
+/// urgent ones.
 const MEMORY_FILL_BY_PRIORITY: [f64; 3] = [1.1, 0.95, 0.85];
-/// Requests that may wait at an engine before one of each rank goes there.
+/// Most requests that may wait at an engine that a request of each priority is sent to.
 const MAX_WAITING_BY_PRIORITY: [f64; 3] = [8.0, 2.0, 0.7];
-/// Requests that have to wait somewhere before any is refused for want of room.
+/// Total of waiting requests from which a request may be refused for lack of room.
 const MIN_WAITING_TO_REFUSE: f64 = 1.0;
 
-/// What a request needs.
+/// The resources and the latency that a request needs.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Demand {
-    /// Tokens of its prompt, 0 for a plain request.
+    /// Prompt tokens; 0 for a request without a prompt.
     pub prompt_tokens: u32,
-    /// Tokens of its prompt that a target may hold already.
+    /// Prompt tokens that a target may have in its cache.
     pub shared_tokens: u32,
-    /// Tokens of an engine's memory that it takes until its end.
+    /// Tokens of engine memory that the request holds until it ends.
     pub memory: u32,
-    /// Rank; 0 goes first.
+    /// Priority of the request; 0 is the most urgent.
     pub priority: u8,
-    /// Time within which its answer is worth most.
+    /// Time within which the answer has its full value.
     pub latency_target: Duration,
 }
 
-/// A target that may take a request.
+/// A target that may receive a request, with its estimated state.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// 0 in the host's failure domain, 1 in its region, 2 elsewhere.
+    /// 0 in the host's failure domain, 1 elsewhere in its region, 2 in another region.
     pub distance: usize,
-    /// Requests that it is thought to have.
+    /// Estimated number of requests at the target.
     pub requests: f64,
-    /// Requests that wait there for their turn.
+    /// Estimated number of requests in its queue.
     pub waiting: f64,
-    /// Memory that is thought to be taken, and all of it, in tokens.
+    /// Estimated memory in use, and the total memory, in tokens.
     pub memory: (f64, u64),
-    /// Requests that it runs at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Prompt tokens that it reads first.
+    /// Prompt tokens that it has to prefill first.
     pub prefill_backlog: u64,
-    /// Chance that it holds the shared part of the prompt.
+    /// Probability that its cache holds the shared part of the prompt.
     pub cache_hit_chance: f64,
     /// Average time to an answer, in milliseconds.
     pub latency_ms: f64,
-    /// Share of its answers that are failures.
+    /// Share of sends to it that failed.
     pub failures: f64,
-    /// Whether newer weights have been named than it has.
+    /// Whether newer weights than the target's have been declared.
     pub has_old_weights: bool,
-    /// Whether a connection to it waits for a request.
+    /// Whether an idle connection to the target is open.
     pub is_connected: bool,
 }
 
-/// The candidate that was chosen, and why.
+/// The chosen candidate with its estimates.
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[derive(Serialize)]
 pub struct Choice {
-    /// Index of the candidate.
+    /// Index in the list of candidates.
     pub index: usize,
-    /// Its cost against an average request's worth.
+    /// Cost in units of an average request's value.
     pub cost: f64,
     /// Expected time to the first byte, in milliseconds.
     pub expected_ms: f64,
 }
 
-/// What placement decides.
+/// The result of a placement.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Decision {
-    /// Send it there.
+    /// The request goes to this candidate.
     Send(Choice),
-    /// No engine has room for a request of this rank; it would wait and make others late.
+    /// No engine has room for a request of this priority; it would wait and delay others.
     AllFull,
     /// There is no candidate.
     NoCandidate,
 }
 
-/// Chooses a candidate for a request, or refuses it.
+/// Chooses a candidate for a request, or refuses the request.
 ///
-/// Answers overload: with fewer engines or more requests than usual their memory fills, prompts wait, kept prompts yield
-/// and are read again, and everything is late. Requests that find no room are refused at once, the least urgent first; they
-/// are refused only while requests are known to wait.
+/// Refusals limit the damage of an overload. With fewer engines or more requests than usual, memory fills up,
+/// requests queue, cached prompts are evicted and recomputed, and every answer is late. Requests without room
+/// are refused at once, the least urgent first, and only while requests are known to wait.
 pub fn decide(demand: &Demand, candidates: &[Candidate], tie_break: f64) -> Decision {
     let fits = |c: &Candidate| has_room(demand, c);
     if demand.prompt_tokens == 0 || candidates.iter().any(fits) {
@@ -130,9 +133,10 @@
     fits && c.waiting <= MAX_WAITING_BY_PRIORITY[priority]
 }
 
-/// Chooses the candidate that costs least: the risk of a late answer, prompt tokens read again, what is carried between
-/// failure domains, failures and replaced weights, all against an average request's worth. `draw` from 0 to 1 breaks ties,
-/// so that hosts with equal views don't all choose the same target.
+/// Chooses the candidate with the lowest cost: the risk of a late answer, recomputed prompt tokens, transfers
+/// between failure domains, failures and replaced weights, in units of an average request's value.
+/// `tie_break`, from 0 to 1, separates equal candidates, as hosts with the same view would all choose the
+/// same target otherwise.
 fn choose(demand: &Demand, candidates: &[Candidate], allowed: &[bool], tie_break: f64) -> Option<Choice> {
     let spread = candidates.len().max(1);
     let allowed = candidates.iter().enumerate().filter(|(index, _)| allowed[*index]);
@@ -172,7 +176,7 @@
     let target_ms = (demand.latency_target.as_secs_f64() * 1e3).max(1.0);
     let share = expected_ms / target_ms;
     let risk = ((share - SAFE_LATENCY_SHARE) / (1.0 - SAFE_LATENCY_SHARE)).clamp(0.0, 1.0);
-    // What replaced weights hold is lost soon; reading the prompt with the new ones is only put off.
+    // Cache made by replaced weights is soon useless: it only postpones the prefill with the new weights.
     let reusable = if c.has_old_weights {
         0.0
     } else {
--- a/components/gateway/src/quarantine.rs
+++ b/components/gateway/src/quarantine.rs
@@ -4,19 +4,19 @@
 use data_encoding::{HEXLOWER, HEXLOWER_PERMISSIVE};
 use utils::{Monotonic, digest};
 
-/// Names a request by path, workspace and body, whoever sends it again.
+/// Identifies a request by path, workspace and body, independent of who sends it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Fingerprint([u8; 16]);
 
-/// Crashes with the same request aboard after which it runs no more.
+/// Crashes with the same request in flight after which the request is quarantined.
 pub(crate) const CRASHES_TO_QUARANTINE: u32 = 2;
-/// Time after which a crash is forgotten.
+/// Time for which a crash is remembered.
 pub(crate) const CRASH_RETENTION: Duration = Duration::from_secs(120);
-/// Most requests remembered; the oldest are forgotten first.
+/// Most requests that are remembered; the oldest are evicted first.
 const MAX_REMEMBERED: usize = 4_096;
 
 impl Fingerprint {
-    /// The fingerprint of a request.
+    /// Computes the fingerprint of a request.
     ///
     /// ```
     /// use gateway::Fingerprint;
@@ -37,41 +37,41 @@
         Self(first)
     }
 
-    /// As hexadecimal digits.
+    /// Returns the fingerprint as hexadecimal digits.
     pub fn text(&self) -> String {
         HEXLOWER.encode(&self.0)
     }
 
-    /// Reads what [`Fingerprint::text`] wrote.
+    /// Parses the output of [`Fingerprint::text`].
     pub fn parse(text: &str) -> Option<Self> {
         let bytes = HEXLOWER_PERMISSIVE.decode(text.as_bytes()).ok()?;
         Some(Self(bytes.try_into().ok()?))
     }
 }
 
-/// A target went down with a request aboard.
+/// A crash of a target with a request in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Crash {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// The target.
+    /// The target's address.
     pub address: std::net::SocketAddr,
-    /// How many crashes this host has seen with the request aboard, this one included.
+    /// Crashes with this request in flight that this host has seen, this one included.
     pub count: u32,
 }
 
-/// Counts crashes of targets by the requests that were aboard.
+/// Counts crashes of targets by the requests that were in flight.
 ///
-/// A server that goes down takes many innocent requests with it, but the same one is rarely aboard twice. A success clears
-/// a request.
+/// A crashing server takes many unrelated requests with it, but an unrelated request is rarely in flight at
+/// two crashes. A successful run clears a request.
 #[derive(Debug, Default)]
 pub struct Crashes {
-    /// Crashes and the time of the last one.
+    /// Number of crashes and time of the last one, by request.
     crashes: HashMap<Fingerprint, (u32, Monotonic)>,
 }
 
 impl Crashes {
-    /// A target went down with the request aboard; says how often that happened.
+    /// Records a crash with the request in flight; returns the number of such crashes.
     pub fn record_crash(&mut self, fingerprint: Fingerprint, now: Monotonic) -> u32 {
         self.evict(now);
         let entry = self.crashes.entry(fingerprint).or_insert((0, now));
@@ -79,12 +79,12 @@
         entry.0
     }
 
-    /// The request ended well.
+    /// Records that the request was answered successfully, which clears its crashes.
     pub fn record_success(&mut self, fingerprint: &Fingerprint) {
         self.crashes.remove(fingerprint);
     }
 
-    /// Whether the request is to run no more.
+    /// Whether the request must not run any more.
     pub fn is_quarantined(&self, fingerprint: &Fingerprint) -> bool {
         self.crashes
             .get(fingerprint)
--- a/components/gateway/src/sessions.rs
+++ b/components/gateway/src/sessions.rs
@@ -3,31 +3,31 @@
 
 use utils::{Monotonic, TargetId};
 
-/// Time for which a target is thought to keep what it has read.
+/// Time for which a target is assumed to keep a prompt in its cache.
 const CACHE_LIFETIME: Duration = Duration::from_secs(15);
-/// Most sessions remembered.
+/// Most sends that are remembered.
 const MAX_SESSIONS: usize = 8_192;
-/// Chance that a target still holds what this host sent there lately.
+/// Probability that the target of this host's last send still caches the session.
 const SENT_CHANCE: f64 = 0.9;
-/// Chance that the session's home holds it, which every host prefers.
+/// Probability that the session's owner caches it; every host prefers the same owner.
 const OWNER_CHANCE: f64 = 0.7;
-/// Chance that the session's second choice holds it.
+/// Probability that the target second in the session's order caches it.
 const SECOND_OWNER_CHANCE: f64 = 0.2;
 
-/// Names a session under a cache salt.
+/// Hash that identifies a session under a cache salt.
 pub type SessionKey = u64;
 
-/// Where prompts that return were sent last.
+/// The targets that sessions were last sent to.
 #[derive(Debug, Default)]
 pub struct Sessions {
-    /// Targets by session, with the time of the last send.
+    /// Target and time of the last send by session.
     last_sends: HashMap<SessionKey, (TargetId, Monotonic)>,
     /// Sends, oldest first.
     send_order: VecDeque<(SessionKey, Monotonic)>,
 }
 
 impl Sessions {
-    /// A session was sent to a target.
+    /// Records that a session was sent to a target, and forgets old sends.
     pub fn record_sent(&mut self, session: SessionKey, target: TargetId, now: Monotonic) {
         self.last_sends.insert(session, (target, now));
         self.send_order.push_back((session, now));
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Chance that a target holds the session's shared part; `rank` is its place in the session's order of targets.
+    /// Returns the probability that a target caches the session's shared part. `position` is the target's
+    /// index in the session's order of targets.
     pub fn cache_hit_chance(
         &self,
         session: SessionKey,
--- a/components/gateway/src/telemetry.rs
+++ b/components/gateway/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! What a request's way leaves behind: a numbered log line and a count for each decision.
+//! Log lines and metrics of requests: a numbered event and a counter for each decision.
 
 use std::time::Duration;
 
@@ -11,11 +11,11 @@
 
 use crate::placement::Choice;
 
-/// Log lines and metrics of requests.
+/// Log and metric instruments of the traffic thread.
 pub(crate) struct Telemetry {
     /// The log.
     log: Logger,
-    /// Collects what the instruments record.
+    /// Collects the values of the instruments.
     registry: Registry,
     /// Keeps the instruments alive.
     _provider: SdkMeterProvider,
@@ -25,49 +25,49 @@
     sends: Counter<u64>,
     /// Time from a send to the first byte of its answer, in seconds.
     first_byte: Histogram<f64>,
-    /// Repeats by whether the budget allowed them.
+    /// Retries by whether the budget allowed them.
     retries: Counter<u64>,
     /// Calls to the platform's store by result.
     store_calls: Counter<u64>,
     /// Time since the platform's store last answered, in seconds.
     store_age: Gauge<f64>,
-    /// Requests under way.
+    /// Requests in flight.
     in_flight: Gauge<u64>,
-    /// Version of the declarations that are obeyed.
+    /// Version of the declarations in force.
     declared: Gauge<u64>,
     /// Targets that may be used.
     targets: Gauge<u64>,
-    /// Entry hosts that are known.
+    /// Entry hosts in the view.
     hosts: Gauge<u64>,
     /// 1 while this host may give orders to engines.
     lease: Gauge<u64>,
 }
 
-/// What a host is and believes, as its gauges show it.
+/// Values of the gauges that describe the host's state.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct GaugeValues {
     /// Time since the platform's store last answered.
     pub store_age: Duration,
-    /// Requests under way.
+    /// Requests in flight.
     pub in_flight: usize,
-    /// Version of the declarations that are obeyed; 0 before the first.
+    /// Version of the declarations in force; 0 before the first.
     pub declared: u64,
     /// Targets that may be used.
     pub targets: usize,
-    /// Entry hosts that are known.
+    /// Entry hosts in the view.
     pub hosts: usize,
 }
 
-/// What became of a send.
+/// The result of a send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SendResult {
-    /// No byte of it reached the target.
+    /// No byte of the request reached the target.
     NotSent,
-    /// The target did not run it.
+    /// The target did not run the request.
     NotRun,
-    /// It may have run; no answer came.
+    /// The request may have run; no answer came.
     NoAnswer,
-    /// It was answered.
+    /// The target answered.
     Answered,
 }
 
@@ -91,7 +91,9 @@
             .build()
         {
             Ok(exporter) => provider = provider.with_reader(exporter),
-            Err(e) => warn!(log, "no metrics"; events::METRICS_MISSING, "error" => %e),
+            Err(e) => {
+                warn!(log, "failed to set up the metrics exporter"; events::METRICS_MISSING, "error" => %e)
+            }
         }
         let provider = provider.build();
         let meter = provider.meter("laburnumtally");
@@ -114,32 +116,32 @@
         }
     }
 
-    /// All metrics in the Prometheus text format.
+    /// Returns all metrics in the Prometheus text format.
     pub(crate) fn text(&self) -> Vec<u8> {
         let mut buf = Vec::new();
-        // Encoding into memory fails only for families without metrics, which are left out then.
+        // Encoding into memory fails only for families without metrics; the output leaves them out.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut buf);
         buf
     }
 
-    /// The budget was asked for a repeat.
+    /// Counts a retry that the budget allowed or refused.
     pub(crate) fn retry(&self, is_allowed: bool) {
         let result = if is_allowed { "allowed" } else { "refused" };
         self.retries.add(1, &[KeyValue::new("result", result)]);
     }
 
-    /// The platform's store was called.
+    /// Counts a call to the platform's store.
     pub(crate) fn store_call(&self, is_answered: bool) {
         let result = if is_answered { "answered" } else { "failed" };
         self.store_calls.add(1, &[KeyValue::new("result", result)]);
     }
 
-    /// Whether this host may give orders.
+    /// Records whether this host holds the lease to give orders to engines.
     pub(crate) fn lease(&self, is_held: bool) {
         self.lease.record(u64::from(is_held), &[]);
     }
 
-    /// What the host is and believes now.
+    /// Records the gauges that describe the host's state.
     pub(crate) fn record_gauges(&self, values: &GaugeValues) {
         self.store_age.record(values.store_age.as_secs_f64(), &[]);
         self.in_flight.record(values.in_flight as u64, &[]);
@@ -148,54 +150,56 @@
         self.hosts.record(values.hosts as u64, &[]);
     }
 
-    /// Where a request goes and why.
-    pub(crate) fn placed(&self, id: &str, target: &str, choice: &Choice, tries: u32) {
-        info!(self.log, "placed"; events::ROUTE_PLACED, "request" => id, "target" => target,
-            "cost" => choice.cost, "expected_ms" => choice.expected_ms, "try" => tries);
+    /// Logs the target chosen for a request, with its cost.
+    pub(crate) fn placed(&self, id: &str, target: &str, choice: &Choice, attempt: u32) {
+        info!(self.log, "request placed"; events::ROUTE_PLACED, "request" => id, "target" => target,
+            "cost" => choice.cost, "expected_ms" => choice.expected_ms, "try" => attempt);
     }
 
-    /// A send ended.
+    /// Counts a send and logs it if it failed.
     pub(crate) fn sent(&self, id: &str, target: &str, result: SendResult) {
         self.sends.add(1, &[KeyValue::new("result", result.as_str())]);
         if result != SendResult::Answered {
-            warn!(self.log, "try failed"; events::ROUTE_TRY_FAILED, "request" => id,
+            warn!(self.log, "attempt failed"; events::ROUTE_TRY_FAILED, "request" => id,
                 "target" => target, "result" => result.as_str());
         }
     }
 
-    /// The first byte of an answer has come.
+    /// Records the time from a send to the first byte of its answer.
     pub(crate) fn first_byte(&self, after: Duration) {
         self.first_byte.record(after.as_secs_f64(), &[]);
     }
 
-    /// A request got its answer.
-    pub(crate) fn answered(&self, id: &str, target: &str, status: u16, events: u64, tries: u32) {
+    /// Counts and logs a request that a target answered.
+    pub(crate) fn answered(&self, id: &str, target: &str, status: u16, events: u64, attempts: u32) {
         self.count(Outcome::Ran, "answered");
-        info!(self.log, "answered"; events::ROUTE_ANSWERED, "request" => id, "target" => target,
-            "status" => status, "events" => events, "tries" => tries);
+        info!(self.log, "request answered"; events::ROUTE_ANSWERED, "request" => id, "target" => target,
+            "status" => status, "events" => events, "tries" => attempts);
     }
 
-    /// A request got no answer of a target.
+    /// Counts and logs a request that the host answers in place of a target.
     pub(crate) fn refused(&self, id: &str, outcome: Outcome, reason: &'static str) {
         self.count(outcome, reason);
-        warn!(self.log, "refused"; events::ROUTE_REFUSED, "request" => id,
+        warn!(self.log, "request refused"; events::ROUTE_REFUSED, "request" => id,
             "outcome" => outcome.as_str(), "reason" => reason);
     }
 
-    /// A stream ended early.
+    /// Counts and logs a stream that ended early.
     pub(crate) fn cut(&self, id: &str, events: u64, reason: &'static str) {
         self.count(Outcome::MayHaveRun, reason);
-        warn!(self.log, "cut"; events::ROUTE_CUT, "request" => id, "events" => events, "reason" => reason);
+        warn!(self.log, "stream interrupted"; events::ROUTE_CUT, "request" => id, "events" => events,
+            "reason" => reason);
     }
 
-    /// A stream went on at another target.
+    /// Logs a stream that another target continues.
     pub(crate) fn resumed(&self, id: &str, target: &str, after: &str) {
-        info!(self.log, "resumed"; events::ROUTE_RESUMED, "request" => id, "target" => target, "after" => after);
+        info!(self.log, "resumed"; events::ROUTE_RESUMED, "request" => id,
+            "target" => target, "after" => after);
     }
 
-    /// Other hosts are not told of a crash.
+    /// Logs that a crash is not reported to other hosts.
     pub(crate) fn crash_not_shared(&self, id: &str) {
-        warn!(self.log, "crash not told"; events::CRASH_UNTOLD, "request" => id);
+        warn!(self.log, "crash not reported to other hosts"; events::CRASH_UNTOLD, "request" => id);
     }
 
     fn count(&self, outcome: Outcome, reason: &'static str) {
--- a/components/gateway/src/traffic/accept.rs
+++ b/components/gateway/src/traffic/accept.rs
@@ -17,13 +17,13 @@
 use crate::declared::Route;
 use crate::quarantine::Fingerprint;
 
-/// Time until the first token at a loaded engine.
+/// Time to the first token at a loaded engine.
 const MAX_FIRST_TOKEN_TIME: Duration = Duration::from_millis(1_500);
-/// Time for each token at a loaded engine.
+/// Time for each output token at a loaded engine.
 const MAX_TIME_PER_TOKEN: Duration = Duration::from_millis(20);
-/// Wait before a request that came to a leaving host is worth a try at another.
+/// `Retry-After` of a request that a draining host can not finish; another host takes it.
 const DRAINING_RETRY_AFTER: Duration = Duration::from_millis(100);
-/// Wait before a request that was aboard crashes is worth another try; it may be innocent.
+/// `Retry-After` of a quarantined request. The request may not be the cause of the crashes.
 const QUARANTINE_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 /// Checks a request and reads its body.
@@ -72,7 +72,8 @@
     })
 }
 
-/// How long a request may take at a loaded engine, by the tokens that it may generate; unknown without.
+/// Returns the longest time that a request takes at a loaded engine, from its output tokens. Without a prompt
+/// the time is unlimited.
 fn max_run_time(facts: &CallFacts) -> Duration {
     let tokens = facts.prompt.as_ref().map(|prompt| prompt.tokens_out);
     tokens.map_or(Duration::MAX / 2, |tokens| {
@@ -101,7 +102,7 @@
     }
 }
 
-/// Draws one of the route's services by weight.
+/// Chooses one of the route's services at random, by weight.
 fn choose_service(route: &Route) -> ServiceId {
     let total: u32 = route.services.iter().map(|s| s.weight).sum();
     let mut draw = rand::random_range(0..total.max(1));
--- a/components/gateway/src/traffic/admit.rs
+++ b/components/gateway/src/traffic/admit.rs
@@ -9,20 +9,20 @@
 use crate::declared::{Route, Workspace};
 use crate::{CallFacts, Declared, View};
 
-/// Wait before a host that knows nothing yet is asked again.
+/// `Retry-After` while the host has not received the declarations.
 const STARTING_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// A request that is allowed.
+/// An admitted request.
 pub(crate) struct Admitted {
-    /// Its route.
+    /// Route that the request matches.
     pub route: Arc<Route>,
-    /// Its workspace, if the route needs one.
+    /// Workspace of the caller's API key, if it has one.
     pub workspace: Option<Arc<Workspace>>,
-    /// What was declared when it was admitted.
+    /// Declarations that the request was admitted under.
     pub declared: Arc<Declared>,
 }
 
-/// Whether a request is allowed by what is declared.
+/// Checks a request against the declarations and returns its route and workspace.
 pub(crate) fn admit(view: &View, parts: &Parts, facts: &CallFacts) -> Result<Admitted, Refusal> {
     let Some(declared) = view.declared.clone().filter(|_| view.is_able()) else {
         let refusal = Refusal::not_run(
@@ -55,7 +55,7 @@
     })
 }
 
-/// Requests whose length can be read in two ways are not passed on.
+/// Refuses a request with more than one length header, as its length is ambiguous (request smuggling).
 fn check_framing(parts: &Parts) -> Result<(), Refusal> {
     let lengths = parts.headers.get_all(CONTENT_LENGTH).iter().count();
     let codings = parts.headers.get_all(TRANSFER_ENCODING).iter().count();
--- a/components/gateway/src/traffic/connect.rs
+++ b/components/gateway/src/traffic/connect.rs
@@ -9,13 +9,13 @@
 use smol_hyper::rt::FuturesIo;
 use socket2::{SockRef, TcpKeepalive};
 
-/// Longest time to open a connection: a round trip between regions, and the handshake of a busy target.
+/// Time limit for opening a connection: a round trip between regions, and the handshake with a busy target.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time without an acknowledgement of sent bytes after which a connection is dead.
+/// Time without an acknowledgement of sent bytes after which the connection is closed.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Silence after which a connection is probed, and the pause between probes.
+/// Idle time before the first keep-alive probe, and the time between probes.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Probes without an answer after which a connection is dead.
+/// Unanswered probes after which the connection is closed.
 const MAX_UNANSWERED_PROBES: u32 = 2;
 
 /// An open connection to a target; dropping it closes the socket.
@@ -26,7 +26,7 @@
     _driver: smol::Task<()>,
 }
 
-/// Opens a connection that notices by itself when its other end is gone.
+/// Opens a connection that detects the failure of its peer by itself.
 pub(crate) async fn connect(ex: &Executor, address: SocketAddr) -> Result<Connection, Report<HttpError>> {
     let open = async {
         let stream = TcpStream::connect(address)
--- a/components/gateway/src/traffic/exchange.rs
+++ b/components/gateway/src/traffic/exchange.rs
@@ -20,14 +20,14 @@
 use crate::load::{SendOutcome, Work};
 use crate::telemetry::SendResult;
 
-/// Longest answer that is held back until it is whole, in bytes.
+/// Longest answer that is buffered until it is whole, in bytes.
 const MAX_WHOLE_BYTES: usize = 8 << 20;
-/// Longest time for the rest of an answer that says that the request did not run; its head is enough, and the request goes on
-/// to another target.
+/// Time limit for the body of an answer whose head says that the request did not run. The head is enough to
+/// send the request to another target; the body is read to keep the connection.
 const REFUSAL_TIMEOUT: Duration = Duration::from_millis(50);
-/// Connections to a target that a host may open whatever the limits.
+/// Connections to a target that a host may open regardless of the limits.
 const MIN_CONNECTIONS: usize = 2;
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which apply to one connection only.
 const CONNECTION_HEADERS: [&str; 7] = [
     "connection",
     "keep-alive",
@@ -38,34 +38,34 @@
     "upgrade",
 ];
 
-/// How a try at a target ended.
+/// The result of an attempt to send a request to a target.
 pub(crate) enum AttemptResult {
     /// No byte of the request reached the target.
     NotSent,
     /// The target states that it did not run the request.
     NotRun(AnswerFacts),
-    /// The request was sent; nothing proves that it did not run.
+    /// The request was sent, and nothing proves that it did not run.
     Unknown,
-    /// The caller's time is up.
+    /// The request's deadline has passed.
     TimedOut,
-    /// An answer, of which the head has come.
+    /// The head of an answer has arrived.
     Answered(Box<Answer>),
 }
 
-/// An answer whose body is still to be read.
+/// An answer whose body has not been read.
 pub(crate) struct Answer {
-    /// Head, without what concerns only the target's connection.
+    /// Head of the answer, without hop-by-hop headers.
     pub parts: Parts,
-    /// What the head says.
+    /// Content of the head.
     pub facts: AnswerFacts,
     /// The body.
     pub body: Incoming,
-    /// The exchange; ends when it is dropped.
+    /// The exchange with the target, which ends when it is dropped.
     pub exchange: Exchange,
 }
 
-/// One request at one target. Counts in the target's load until it is dropped; the connection closes with it unless it was
-/// given back.
+/// A request at a target. It counts in the target's load until it is dropped. Dropping it also closes the
+/// connection, unless [`Exchange::finish`] has returned the connection to the pool.
 pub(crate) struct Exchange {
     /// The traffic thread's state.
     cx: Arc<Traffic>,
@@ -73,19 +73,19 @@
     pub target: Arc<Target>,
     /// The connection.
     conn: Option<Connection>,
-    /// What counts in the target's load; `prefill_tokens` until the first byte.
+    /// Resources counted in the target's load; `prefill_tokens` only until the first byte.
     work: Work,
-    /// When the request was sent.
+    /// Time at which the request was sent.
     sent_at: Monotonic,
 }
 
 impl Exchange {
-    /// The first byte of the answer has come.
+    /// Records the first byte of the answer in the target's load and health.
     fn record_first_byte(&mut self, facts: &AnswerFacts, status: u16, has_old_weights: bool) {
         let now = self.cx.now();
         let prefill_tokens = std::mem::take(&mut self.work.prefill_tokens);
-        let took = now.saturating_sub(self.sent_at);
-        self.cx.telemetry.first_byte(took);
+        let elapsed = now.saturating_sub(self.sent_at);
+        self.cx.telemetry.first_byte(elapsed);
         self.cx.with_slot(&self.target, |slot| {
             slot.load.record_first_byte(prefill_tokens, self.sent_at);
             if let Some(load) = facts.load {
@@ -96,16 +96,16 @@
                 _ if facts.is_not_run && has_old_weights => SendOutcome::LoadingWeights,
                 _ if facts.is_not_run => SendOutcome::Rejected,
                 500.. => SendOutcome::Failed,
-                _ => SendOutcome::Answered(took),
+                _ => SendOutcome::Answered(elapsed),
             };
-            // A misdirected request says nothing of the target's load.
+            // A misdirected request gives no information about the target's load.
             if !facts.is_misdirected {
                 slot.load.record_outcome(outcome, now);
             }
         });
     }
 
-    /// The body was read to its end: the connection can take the next request.
+    /// Returns the connection to the pool after the body was read to its end, unless the target closes it.
     pub(crate) fn finish(mut self, facts: &AnswerFacts) {
         let now = self.cx.now();
         let Some(conn) = self.conn.take() else { return };
@@ -115,7 +115,7 @@
         });
     }
 
-    /// The connection broke off.
+    /// Records that the connection broke.
     pub(crate) fn record_broken(&self) {
         let now = self.cx.now();
         self.cx.with_slot(&self.target, |slot| {
@@ -145,15 +145,15 @@
     placed: &Placed,
     resume_after: Option<String>,
 ) -> AttemptResult {
-    let tried = send_to_target(cx, call, placed, resume_after).await;
-    let result = match &tried {
+    let attempt = send_to_target(cx, call, placed, resume_after).await;
+    let result = match &attempt {
         AttemptResult::NotSent => SendResult::NotSent,
         AttemptResult::NotRun(_) => SendResult::NotRun,
         AttemptResult::Unknown | AttemptResult::TimedOut => SendResult::NoAnswer,
         AttemptResult::Answered(_) => SendResult::Answered,
     };
     cx.telemetry.sent(&call.id, &placed.target.instance, result);
-    tried
+    attempt
 }
 
 async fn send_to_target(
@@ -175,7 +175,7 @@
         work: placed.work,
         sent_at,
     };
-    // Connecting takes time; what was true before may not be any more.
+    // The target may have been removed from the view while the connection was opened.
     if !cx.view.load().holds(&target) {
         return AttemptResult::NotSent;
     }
@@ -210,7 +210,7 @@
     classify_answer(cx, call, placed, exchange, parts, body).await
 }
 
-/// Sorts an answer by what its head says.
+/// Classifies an answer by its head.
 async fn classify_answer(
     cx: &Traffic,
     call: &Call,
@@ -225,7 +225,8 @@
     let facts = cx.heads.read_answer(parts.status.as_u16(), &parts.headers);
     let is_other_request = facts.id.as_deref().is_some_and(|id| id != call.id);
     if is_other_request {
-        // The answer of an earlier request on this connection; the own one can't be told from it any more.
+        // This is the answer to an earlier request on the connection; the answer to this request can not be
+        // identified any more.
         return AttemptResult::Unknown;
     }
     exchange.record_first_byte(&facts, parts.status.as_u16(), has_old_weights);
@@ -246,7 +247,7 @@
     }))
 }
 
-/// Reads a body to its end; `None` if it breaks off or takes too long.
+/// Reads a body to its end; `None` if the connection breaks, the body is too long or `time_left` is over.
 pub(crate) async fn read_whole(body: Incoming, time_left: Duration) -> Option<Bytes> {
     let read = async {
         let limited = http_body_util::Limited::new(body, MAX_WHOLE_BYTES);
@@ -259,7 +260,7 @@
     read.or(timeout).await
 }
 
-/// An idle connection to a target, or a new one within this host's part of the target's limit.
+/// Takes an idle connection to a target, or opens one within this host's share of the target's limit.
 async fn open(cx: &Arc<Traffic>, call: &Call, target: &Target) -> Option<Connection> {
     let limit = connection_share(cx, call);
     let (idle, has_room) = cx.with_slot(target, |slot| {
@@ -281,7 +282,7 @@
             Some(conn)
         }
         Err(e) => {
-            slog::debug!(cx.log, "no connection"; errors::events::ROUTE_TRY_FAILED,
+            slog::debug!(cx.log, "failed to connect to the target"; errors::events::ROUTE_TRY_FAILED,
                 "request" => &call.id, "target" => &target.instance, "error" => %e);
             let now = cx.now();
             cx.with_slot(target, |slot| {
@@ -292,13 +293,13 @@
     }
 }
 
-/// A place among a target's connections that is given back if no connection takes it.
+/// A reserved connection of a target, which is released on drop if no connection was opened.
 struct Reserved<'a> {
     /// The traffic thread's state.
     cx: &'a Traffic,
     /// The target.
     target: &'a Target,
-    /// Whether a connection has taken the place.
+    /// Whether a connection was opened for the reservation.
     is_used: bool,
 }
 
@@ -310,7 +311,8 @@
     }
 }
 
-/// This host's part of the connections that a target accepts from all hosts together, within what its own sockets allow.
+/// Returns this host's share of the connections that a target accepts from all hosts, bounded by this host's
+/// sockets.
 fn connection_share(cx: &Traffic, call: &Call) -> usize {
     let view = cx.view.load();
     let declared = view.declared.as_ref();
@@ -347,14 +349,14 @@
         .body(full_body(call.body.clone()))
         .ok()?;
     *req.headers_mut() = headers;
-    // Lengths are set from the body that was read.
+    // Hyper adds the length of a body that arrived chunked. An empty GET request carries no length.
     if call.body.is_empty() && call.method == Method::GET {
         req.headers_mut().remove(hyper::header::CONTENT_LENGTH);
     }
     Some(req)
 }
 
-/// Removes the headers that concern one connection only, those named by `Connection` included.
+/// Removes the hop-by-hop headers, including those that the `Connection` header lists.
 pub(crate) fn strip_connection_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
--- a/components/gateway/src/traffic/mod.rs
+++ b/components/gateway/src/traffic/mod.rs
@@ -1,4 +1,4 @@
-//! The way of a request: admitted, placed, sent, answered. Runs on the traffic thread.
+//! Request path: admission, placement, sending and answering. Runs on the traffic thread.
 
 mod accept;
 mod admit;
--- a/components/gateway/src/traffic/pipeline.rs
+++ b/components/gateway/src/traffic/pipeline.rs
@@ -22,19 +22,19 @@
 use crate::quarantine::Crash;
 use crate::{AnswerFacts, Target};
 
-/// Most sends of one request, those that were turned away included.
+/// Most sends of one request, including those that targets rejected.
 const MAX_SENDS: u32 = 4;
-/// Most targets that could not be reached before a request is refused.
+/// Most unreachable targets before a request is refused.
 const MAX_UNREACHABLE: u32 = 6;
-/// Wait before a refused request is worth another try.
+/// `Retry-After` of a request that no target took.
 const NO_TARGET_RETRY_AFTER: Duration = Duration::from_millis(300);
-/// Part of the route's timeout after which a request that found no room is worth another try. Spread, so that those who were
-/// refused together do not return together.
+/// `Retry-After` of a request for which all targets are full, as a share of the route's timeout. It is
+/// jittered, as requests refused together would return together otherwise.
 const OVERLOAD_RETRY_AFTER_SHARE: f64 = 0.12;
-/// Time left below which a request is not sent any more.
+/// Least time left for another send.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(10);
 
-/// Counts a request as open while it is held.
+/// Counts a request as in flight until it is dropped.
 pub(crate) struct OpenRequest(Arc<Traffic>);
 
 impl OpenRequest {
@@ -54,7 +54,7 @@
     }
 }
 
-/// Answers a caller's request.
+/// Routes a caller's request and returns the response.
 pub(crate) async fn serve(cx: Arc<Traffic>, req: Request<Incoming>) -> Response<Body> {
     let open = OpenRequest::new(&cx);
     let id = cx.heads.read_call(req.headers());
@@ -73,36 +73,37 @@
     res
 }
 
-/// How far a request's tries got.
+/// The attempts to send a request so far.
 #[derive(Default)]
 pub(crate) struct Attempts {
-    /// Runs of targets that it was sent to or that could not be reached.
+    /// Runs of the targets that the request was sent to or that were unreachable.
     pub tried_targets: Vec<TargetId>,
-    /// Sends.
+    /// Sends, including those that targets rejected.
     pub sends: u32,
-    /// Sends that may have run.
+    /// Sends after which the request may have run.
     pub possible_runs: u32,
-    /// Targets that could not be reached.
+    /// Unreachable targets.
     unreachable: u32,
-    /// Why it had no place at last.
+    /// Why the last placement failed.
     placement_error: Option<PlacementError>,
-    /// A failure that a target answered; delivered if nothing better comes.
+    /// A server error that a target answered; it goes to the caller if no later attempt succeeds.
     failure: Option<(hyper::http::response::Parts, Bytes)>,
 }
 
 impl Attempts {
-    /// Whether one more send is allowed: by the route, by the time left and, beyond the first, by the budget of repeats.
+    /// Whether the route, the time left and, beyond the first send, the retry budget allow one more send.
+    /// Takes a retry from the budget.
     pub(crate) fn may_send(&self, cx: &Traffic, call: &Call) -> bool {
         let is_early = cx.now() + MIN_TIME_LEFT < call.deadline;
         let may_run = self.possible_runs == 0 || call.route.repeat.is_idempotent();
-        let has_tries = self.possible_runs < call.route.max_targets.max(1) && self.sends < MAX_SENDS;
-        let is_allowed = is_early && may_run && has_tries && self.unreachable < MAX_UNREACHABLE;
+        let has_attempts = self.possible_runs < call.route.max_targets.max(1) && self.sends < MAX_SENDS;
+        let is_allowed = is_early && may_run && has_attempts && self.unreachable < MAX_UNREACHABLE;
         is_allowed && (self.sends == 0 || cx.take_retry(&call.service))
     }
 
-    /// Counts a send.
-    pub(crate) fn record(&mut self, placed: &Placed, tried: &AttemptResult) {
-        match tried {
+    /// Records the result of an attempt.
+    pub(crate) fn record(&mut self, placed: &Placed, attempt: &AttemptResult) {
+        match attempt {
             AttemptResult::NotSent => self.unreachable += 1,
             AttemptResult::NotRun(_) => self.sends += 1,
             AttemptResult::Unknown | AttemptResult::TimedOut | AttemptResult::Answered(_) => {
@@ -110,9 +111,10 @@
                 self.possible_runs += 1;
             }
         }
-        // With the version that it just named, the same target takes the request.
+        // A target that reported a newer weight version takes the request under that version, and stays a
+        // candidate.
         let shows_newer = |facts: &AnswerFacts| facts.is_misdirected && facts.weights > placed.weights;
-        if !matches!(tried, AttemptResult::NotRun(facts) if shows_newer(facts)) {
+        if !matches!(attempt, AttemptResult::NotRun(facts) if shows_newer(facts)) {
             self.tried_targets.push(placed.target.run.clone());
         }
     }
@@ -135,7 +137,7 @@
     }
 }
 
-/// Sends a request until a target answers it or no further try is allowed.
+/// Sends a request until a target answers it or no further attempt is allowed.
 async fn send_until_answered(cx: &Arc<Traffic>, call: Call, open: OpenRequest) -> Response<Body> {
     cx.record_request(&call.service);
     let mut attempts = Attempts::default();
@@ -161,9 +163,9 @@
                 .record_sent(session, placed.target.run.clone(), now);
         }
         let resume_after = call.last_event.clone();
-        let tried = exchange(cx, &call, &placed, resume_after).await;
-        attempts.record(&placed, &tried);
-        match tried {
+        let attempt = exchange(cx, &call, &placed, resume_after).await;
+        attempts.record(&placed, &attempt);
+        match attempt {
             AttemptResult::NotSent | AttemptResult::NotRun(_) => {}
             AttemptResult::Unknown => record_crash(cx, &call, &placed.target),
             AttemptResult::TimedOut => {
@@ -186,13 +188,13 @@
     refuse(cx, &call, &attempts.refusal(&call))
 }
 
-/// What becomes of an answer.
+/// How an answer is handled.
 enum AnswerAction {
-    /// It is passed on as it comes.
+    /// The answer is streamed to the caller.
     Stream(Box<Answer>),
-    /// It goes to the caller whole.
+    /// The whole response goes to the caller.
     Whole(Response<Body>),
-    /// It is a failure, or broke off; the request may be sent again.
+    /// The answer is a server error or incomplete; another attempt may follow.
     Retry,
 }
 
@@ -215,7 +217,7 @@
     } = answer;
     let Some(bytes) = read_whole(body, call.deadline.saturating_sub(cx.now())).await else {
         exchange.record_broken();
-        // A target that is only slow has not crashed.
+        // A timeout does not prove a crash.
         if cx.now() < call.deadline {
             record_crash(cx, call, &exchange.target);
         }
@@ -234,7 +236,7 @@
     AnswerAction::Whole(Response::from_parts(parts, full_body(bytes)))
 }
 
-/// A target broke off with the request aboard.
+/// Records a crash of a target with the request in flight, and reports it to the control thread.
 pub(crate) fn record_crash(cx: &Traffic, call: &Call, target: &Target) {
     let now = cx.now();
     let count = cx.routing().crashes.record_crash(call.fingerprint, now);
@@ -257,7 +259,7 @@
     cx.telemetry.refused(id, refusal.outcome, refusal.detail);
 }
 
-/// Whether a broken stream may go on at another target.
+/// Whether another target may continue a broken stream.
 pub(crate) fn may_resume(call: &Call) -> bool {
     call.route.repeat == Repeat::Stream { resumable: true }
 }
--- a/components/gateway/src/traffic/place.rs
+++ b/components/gateway/src/traffic/place.rs
@@ -14,35 +14,36 @@
 use crate::view::View;
 use crate::{PromptShape, Target};
 
-/// Memory of a request while this host has none of its own, in tokens.
+/// Memory assumed for a request while this host has none in flight, in tokens.
 const DEFAULT_REQUEST_MEMORY: f64 = 4_000.0;
-/// What a part that a store of the region holds counts as, against one that the target holds itself.
+/// Value of a part that a store of the region holds, relative to one in the target's own cache; used as a
+/// cache hit probability.
 const STORED_CHANCE: f64 = 0.85;
 
-/// Where a request goes.
+/// The target chosen for a request, with the plan for its cache.
 pub(crate) struct Placed {
     /// The target.
     pub target: Arc<Target>,
-    /// Weight version that the target is thought to have.
+    /// Weight version that the target is expected to have.
     pub weights: Option<u64>,
-    /// Why it was chosen.
+    /// Index and estimates of the chosen candidate.
     pub choice: Choice,
-    /// What it takes of the target, as far as is known.
+    /// Estimated resources that the request uses at the target.
     pub work: Work,
-    /// Kept cache to use.
+    /// Parts that the request fetches from stores and saves to them.
     pub cache: CachePlan,
 }
 
-/// Why a request has no place.
+/// Why no target was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PlacementError {
-    /// Every target is full.
+    /// No target has room.
     AllFull,
-    /// There is no target that it may go to.
+    /// No target is allowed for the request.
     NoTarget,
 }
 
-/// Chooses a target for a request among those that it was not sent to.
+/// Chooses a target for a request, without the targets in `tried`.
 pub(crate) fn place(cx: &Traffic, call: &Call, tried: &[TargetId]) -> Result<Placed, PlacementError> {
     let view = cx.view.load();
     let routing = cx.routing();
@@ -88,34 +89,35 @@
     })
 }
 
-/// What is known for one placement.
+/// The state that one placement is based on.
 struct PlacementContext<'a> {
     /// The traffic thread's state.
     cx: &'a Traffic,
-    /// What the host believes.
+    /// The host's view.
     view: &'a View,
-    /// What the traffic thread knows.
+    /// Connections, loads and sessions of the traffic thread.
     routing: &'a RoutingState,
     /// The request.
     call: &'a Call,
-    /// What other hosts are taken to have at a target.
+    /// Load assumed for other hosts at a target without a report.
     others: OtherHostsLoad,
     /// Memory of an engine of the service, in tokens.
     engine_memory: u64,
     /// Stores of kept cache in the region of each failure domain that has targets.
     stores: HashMap<&'a str, Vec<RegionStore>>,
-    /// Whether any engine has the newest weights.
+    /// Whether at least one engine has the newest weights.
     is_rollout_started: bool,
-    /// Time.
+    /// Time of the placement.
     now: Monotonic,
 }
 
-/// What other hosts are taken to have at a target of which nothing is known: as much as this host has on average.
+/// Load assumed for other hosts at a target without a report: this host's average per target, for each other
+/// host.
 #[derive(Debug, Clone, Copy)]
 struct OtherHostsLoad {
-    /// Requests.
+    /// Requests of all other hosts at one target.
     requests: f64,
-    /// Memory that each of them takes, in tokens.
+    /// Memory of each of these requests, in tokens.
     memory: f64,
 }
 
@@ -145,7 +147,8 @@
         context
     }
 
-    /// Targets that may take the request; those that were not reached lately only if there is no other.
+    /// Returns the targets that may receive the request. Paused targets are included only if there is no
+    /// other.
     fn targets(&self, tried: &[TargetId]) -> Vec<&'a Arc<Target>> {
         let is_allowed = |target: &&Arc<Target>| {
             let weights = self.weights_at(target);
@@ -161,7 +164,7 @@
         if reachable.is_empty() { all } else { reachable }
     }
 
-    /// Chance that a target holds the session's part itself.
+    /// Returns the probability that the target's own cache holds the session's part.
     fn cache_hit_chance(
         &self,
         target: &Target,
@@ -206,14 +209,14 @@
         }
     }
 
-    /// The version that a target has: what its entry says, or newer if its answers showed so.
+    /// Returns the weight version of a target: the one in its record, or a newer one seen in its answers.
     fn weights_at(&self, target: &Target) -> Option<u64> {
         let listed = target.weights_of(self.call.model()?);
         let slot = self.routing.slots.get(&target.run);
         listed.max(slot.and_then(|slot| slot.observed_weights))
     }
 
-    /// How a target with some weights may be used if newer ones were named.
+    /// Returns how a target with these weights may be used when newer ones have been declared.
     fn old_weights(&self, weights: Option<u64>) -> OldWeights {
         let named = self.call.model().and_then(|model| self.view.weights.get(model));
         let (Some(named), Some(version)) = (named, weights) else {
@@ -240,13 +243,13 @@
                 .is_stored(prompt, &salt, self.stores(target), self.now)
     }
 
-    /// Whether no newer weights are named than a target has.
+    /// Whether no newer weights than the target's have been declared.
     fn has_newest_weights(&self, prompt: &PromptShape, weights: Option<u64>) -> bool {
         let named = self.view.weights.get(&prompt.model);
         named.is_none_or(|named| weights.unwrap_or(0) >= named.newest())
     }
 
-    /// What the request fetches from stores or from the session's home, and what it saves.
+    /// Plans what the request fetches from stores or from the session's owner, and what it saves.
     fn cache_plan(&self, target: &Target, weights: Option<u64>, owner: Option<&Arc<Target>>) -> CachePlan {
         let (Some(prompt), Some(salt)) = (&self.call.prompt, self.call.cache_salt(weights)) else {
             return CachePlan::default();
@@ -267,7 +270,7 @@
     }
 }
 
-/// Stores of kept cache in the region of a failure domain.
+/// Returns the stores of kept cache in the region of a failure domain.
 fn stores_in_region(cx: &Traffic, view: &View, domain: &str) -> Vec<RegionStore> {
     let Some(declared) = &view.declared else {
         return Vec::new();
@@ -276,7 +279,7 @@
     region_stores(stores, domain, |domain| cx.settings.regions.get(domain).cloned())
 }
 
-/// Memory of an engine of the call's service, in tokens.
+/// Returns the memory of an engine of the call's service, in tokens; unlimited if none is declared.
 fn engine_memory(view: &View, call: &Call) -> u64 {
     let declared = view.declared.as_ref();
     let service = declared.and_then(|declared| declared.service(&call.service));
@@ -303,12 +306,13 @@
     }
 }
 
-/// A session's cache under one weight version; another version has to read it anew.
+/// Derives the key of a session's cache under one weight version. Another version has to compute the cache
+/// again.
 pub(crate) fn session_for_weights(session: SessionKey, weights: Option<u64>) -> SessionKey {
     session ^ weights.unwrap_or(0).wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
 
-/// Sorts targets by the order in which they own a session, the same on every host.
+/// Sorts targets by rendezvous hash, the owner of the session first. The order is the same on every host.
 fn sort_by_owner(targets: &mut [&Arc<Target>], session: SessionKey) {
     let key = session.to_le_bytes();
     targets.sort_by_cached_key(|target| std::cmp::Reverse(rendezvous_score(&key, &target.instance)));
--- a/components/gateway/src/traffic/pool.rs
+++ b/components/gateway/src/traffic/pool.rs
@@ -5,34 +5,34 @@
 use super::connect::Connection;
 use crate::LoadEstimate;
 
-/// A connection is not used again this long before the target closes it.
+/// Margin before the target's keep-alive timeout in which an idle connection is no longer used.
 const CLOSE_MARGIN: Duration = Duration::from_millis(1_200);
-/// Time for which a connection is kept if the target does not say.
+/// Time for which an idle connection is kept if the target gives no keep-alive timeout.
 const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(4);
 
-/// A connection that waits for its next request.
+/// An idle connection.
 struct Idle {
     /// The connection.
     conn: Connection,
-    /// Until when it may be used.
+    /// Time until which it may be used.
     usable_until: Monotonic,
 }
 
-/// What the traffic thread holds for one target.
+/// The traffic thread's state for one target.
 #[derive(Default)]
 pub(crate) struct TargetSlot {
-    /// Load and health.
+    /// Estimated load and health.
     pub load: LoadEstimate,
-    /// Weight version that the target showed with an answer, by its own number.
+    /// Newest weight version that the target's answers have reported.
     pub observed_weights: Option<u64>,
-    /// Open connections, idle ones included.
+    /// Open connections, idle and reserved ones included.
     open: usize,
-    /// Idle connections, the one used last at the end.
+    /// Idle connections, the most recently used one last.
     idle: Vec<Idle>,
 }
 
 impl TargetSlot {
-    /// Takes an idle connection that the target has not closed.
+    /// Takes an idle connection that is still open.
     pub(crate) fn take_idle(&mut self, now: Monotonic) -> Option<Connection> {
         while let Some(idle) = self.idle.pop() {
             if now < idle.usable_until && idle.conn.sender.is_ready() {
@@ -43,13 +43,13 @@
         None
     }
 
-    /// Whether an idle connection may be used.
+    /// Whether an idle connection can be used.
     pub(crate) fn is_connected(&self, now: Monotonic) -> bool {
         let newest = self.idle.last();
         newest.is_some_and(|idle| now < idle.usable_until && !idle.conn.sender.is_closed())
     }
 
-    /// Reserves a new connection, if the limit allows one more.
+    /// Reserves a new connection if the limit allows one more; returns whether it does.
     pub(crate) fn reserve(&mut self, limit: usize) -> bool {
         let has_room = self.open < limit;
         if has_room {
@@ -58,7 +58,7 @@
         has_room
     }
 
-    /// A connection is closed or could not be opened.
+    /// Counts a connection as closed, or as not opened after all.
     pub(crate) fn release(&mut self) {
         self.open = self.open.saturating_sub(1);
     }
@@ -78,7 +78,7 @@
         });
     }
 
-    /// Closes the idle connections that may not be used any more.
+    /// Closes the idle connections that may no longer be used.
     pub(crate) fn close_expired(&mut self, now: Monotonic) {
         let before = self.idle.len();
         self.idle
--- a/components/gateway/src/traffic/refusal.rs
+++ b/components/gateway/src/traffic/refusal.rs
@@ -5,7 +5,7 @@
 use hyper::header::{CONTENT_TYPE, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
-/// Why a request gets no answer of a target.
+/// A response that the host gives in place of a target's answer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Refusal {
     /// Kind of the problem.
@@ -14,7 +14,7 @@
     pub outcome: Outcome,
     /// What happened, for the caller and the log.
     pub detail: &'static str,
-    /// When it is worth to come back.
+    /// Time after which a retry may succeed.
     pub retry_after: Option<Duration>,
 }
 
@@ -42,7 +42,7 @@
         self
     }
 
-    /// The response; its status says "not run" only if that is known.
+    /// Builds the response. Its status means "not run" only if it is certain that the request did not run.
     pub(crate) fn response(&self, request_id: &str) -> Response<Body> {
         let problem = Problem::new(self.kind, self.outcome, self.detail).with_request(request_id);
         let status = StatusCode::from_u16(problem.status).unwrap_or(StatusCode::BAD_GATEWAY);
--- a/components/gateway/src/traffic/relay.rs
+++ b/components/gateway/src/traffic/relay.rs
@@ -17,46 +17,46 @@
 use super::stream_events::EventSplitter;
 use crate::AnswerFacts;
 
-/// A stream on its way to the caller. The caller's connection drives it; when the caller leaves, it is dropped with the
-/// target's connection.
+/// A stream that is passed to the caller. The caller's connection polls it; when the caller disconnects, the
+/// stream is dropped together with the target's connection.
 struct Relay {
     /// The traffic thread's state.
     cx: Arc<Traffic>,
     /// The request.
     call: Call,
-    /// Tries so far.
+    /// Attempts to send the request so far.
     attempts: Attempts,
-    /// Cuts at event ends.
+    /// Splits the stream at event boundaries.
     splitter: EventSplitter,
-    /// Where the events come from.
+    /// The target's answer; `None` once it has ended.
     source: Option<Source>,
-    /// Counts as open until the end.
+    /// Counts the request as in flight until the stream ends.
     _open: OpenRequest,
 }
 
-/// A target's half of a stream.
+/// The target's answer that events are read from.
 struct Source {
-    /// The events.
+    /// Body with the events.
     body: Incoming,
-    /// What the head said.
+    /// Content of the answer's head.
     facts: AnswerFacts,
-    /// The exchange.
+    /// The exchange with the target.
     exchange: Exchange,
 }
 
-/// What the target sent next.
+/// The next item read from the target.
 enum Next {
-    /// Bytes.
+    /// Bytes of the body.
     Data(Bytes),
     /// The stream is complete.
     End,
-    /// It broke off.
+    /// The connection broke.
     Broken,
-    /// The route's time is up.
+    /// The request's deadline has passed.
     TimedOut,
 }
 
-/// Passes a stream on as it comes.
+/// Passes a stream to the caller as it arrives.
 pub(crate) fn relay(
     cx: Arc<Traffic>,
     call: Call,
@@ -71,7 +71,7 @@
         exchange,
     } = answer;
     if may_resume(&call) {
-        // Another target may add to what this one announced.
+        // After a resume the length can differ from the one that the first target announced.
         parts.headers.remove(CONTENT_LENGTH);
     }
     let splitter = EventSplitter::resume_after(call.last_event.clone());
@@ -95,7 +95,8 @@
 }
 
 impl Relay {
-    /// The next bytes for the caller; an error cuts the answer, so that it does not look complete.
+    /// Returns the next bytes for the caller. An error breaks the response, as it would look complete
+    /// otherwise.
     async fn next(&mut self) -> Option<Result<Bytes, HttpError>> {
         loop {
             let source = self.source.as_mut()?;
@@ -144,7 +145,7 @@
         self.splitter.discard_partial();
     }
 
-    /// Goes on at another target after the last whole event.
+    /// Resumes the stream at another target after the last whole event; returns whether that succeeded.
     async fn resume(&mut self) -> bool {
         let progress = self.splitter.progress();
         let is_known = progress.last_event.is_some() || progress.events == 0;
@@ -156,9 +157,9 @@
             let Ok(placed) = place(&self.cx, &self.call, &self.attempts.tried_targets) else {
                 return false;
             };
-            let tried = exchange(&self.cx, &self.call, &placed, after.clone()).await;
-            self.attempts.record(&placed, &tried);
-            match tried {
+            let attempt = exchange(&self.cx, &self.call, &placed, after.clone()).await;
+            self.attempts.record(&placed, &attempt);
+            match attempt {
                 AttemptResult::NotSent | AttemptResult::NotRun(_) => {}
                 AttemptResult::Unknown => record_crash(&self.cx, &self.call, &placed.target),
                 AttemptResult::TimedOut => return false,
--- a/components/gateway/src/traffic/request.rs
+++ b/components/gateway/src/traffic/request.rs
@@ -12,31 +12,31 @@
 use crate::quarantine::Fingerprint;
 use crate::sessions::SessionKey;
 
-/// A request on its way.
+/// A request that is being routed.
 pub(crate) struct Call {
-    /// Identifier that the caller gave it.
+    /// Request id that the caller gave.
     pub id: String,
     /// Method.
     pub method: Method,
     /// Path and query.
     pub target_uri: Uri,
-    /// Headers as they came.
+    /// Headers as received.
     pub headers: HeaderMap,
     /// The whole body.
     pub body: Bytes,
-    /// Route.
+    /// Route that the request matches.
     pub route: Arc<Route>,
-    /// Service that was drawn for it.
+    /// Service that was chosen from the route's services.
     pub service: ServiceId,
-    /// Workspace.
+    /// Workspace of the caller's API key, if it has one.
     pub workspace: Option<Arc<Workspace>>,
-    /// Prompt.
+    /// Shape of the prompt, if there is one.
     pub prompt: Option<PromptShape>,
-    /// Last event that the caller has.
+    /// Id of the last event that the caller has received.
     pub last_event: Option<String>,
-    /// When its time is up.
+    /// Time after which no answer is awaited any more.
     pub deadline: Monotonic,
-    /// Names it among the requests that crash targets.
+    /// Identifies the request in the quarantine.
     pub fingerprint: Fingerprint,
 }
 
@@ -45,7 +45,7 @@
         self.prompt.as_ref().map(|prompt| &prompt.model)
     }
 
-    /// What placement has to weigh.
+    /// Returns the resources and the latency that the request needs.
     pub(crate) fn demand(&self) -> Demand {
         let prompt = self.prompt.as_ref();
         Demand {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Names what the prompt shares with others.
+    /// Returns the key of the prompt part that later requests share, within the workspace if it is isolated.
     pub(crate) fn session_key(&self) -> Option<SessionKey> {
         let prompt = self.prompt.as_ref()?;
         let part = prompt.session()?;
@@ -66,7 +66,8 @@
         Some(utils::digest(text.as_bytes()).first_u64())
     }
 
-    /// Kept cache is shared only under the same name: the workspace if it is isolated, and the weight version.
+    /// Returns the salt for kept cache. Requests share kept cache only under the same salt: the workspace if
+    /// it is isolated, the model, and the weight version.
     pub(crate) fn cache_salt(&self, weights: Option<u64>) -> Option<String> {
         Some(salt_of(
             self.workspace.as_deref(),
@@ -75,7 +76,7 @@
         ))
     }
 
-    /// Rank at the target: the workspace's goes before the route's.
+    /// Returns the priority at the target: the workspace's if it has one, else the route's.
     pub(crate) fn priority(&self) -> Option<u8> {
         self.prompt.as_ref()?;
         let workspace = self.workspace.as_ref().and_then(|w| w.priority);
--- a/components/gateway/src/traffic/state.rs
+++ b/components/gateway/src/traffic/state.rs
@@ -15,53 +15,53 @@
 use crate::telemetry::Telemetry;
 use crate::{HostSettings, RetryBudget, Sessions, Target, View};
 
-/// What the traffic thread knows beside the view.
+/// Mutable routing state of the traffic thread.
 #[derive(Default)]
 pub(crate) struct RoutingState {
     /// Connections, load and health by run of a target.
     pub slots: HashMap<TargetId, TargetSlot>,
-    /// Budgets of repeats by service.
+    /// Retry budgets by service.
     pub budgets: HashMap<ServiceId, RetryBudget>,
-    /// Where sessions were sent.
+    /// Targets that sessions were last sent to.
     pub sessions: Sessions,
-    /// Requests that were aboard crashes.
+    /// Requests that were in flight at crashes of targets.
     pub crashes: Crashes,
 }
 
-/// When a host that is about to end does what.
+/// Times of a graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct DrainSchedule {
-    /// From now on it takes only what it can finish.
+    /// From this time on the host accepts only requests that it can finish.
     pub limited_from: Monotonic,
-    /// When it ends.
+    /// Time at which the host ends.
     pub ends_at: Monotonic,
 }
 
-/// Everything that a request's way needs.
+/// State that the stages of a request share.
 pub(crate) struct Traffic {
     /// Settings of the host.
     pub settings: HostSettings,
-    /// Time.
+    /// Source of the time.
     pub clock: Arc<dyn Clock>,
-    /// What the host believes.
+    /// The host's view of declarations and targets.
     pub view: ArcSwap<View>,
-    /// Reads and writes heads.
+    /// Reads and writes the heads of requests and answers.
     pub heads: Arc<dyn Heads>,
     /// Runs connections.
     pub ex: Executor,
-    /// Log.
+    /// The log.
     pub log: Logger,
     /// Log lines and metrics of requests.
     pub telemetry: Telemetry,
-    /// Set once the host is about to end.
+    /// Set when a graceful shutdown starts.
     drain: OnceLock<DrainSchedule>,
-    /// Requests under way.
+    /// Requests in flight.
     pub in_flight: AtomicUsize,
-    /// Crashes of targets, for the control thread to tell other hosts of.
+    /// Sends crashes of targets to the control thread, which reports them to other hosts.
     pub crashed: async_channel::Sender<Crash>,
-    /// What the traffic thread knows.
+    /// Connections, budgets, sessions and crashes.
     routing: Mutex<RoutingState>,
-    /// What is known of the stores of kept cache.
+    /// Directories of the stores of kept cache.
     kept: Mutex<KeptCache>,
 }
 
@@ -98,18 +98,18 @@
         self.drain.get().is_some()
     }
 
-    /// The host is about to end. Only the first call counts.
+    /// Starts a graceful shutdown. Only the first call has an effect.
     pub(crate) fn begin_drain(&self, drain: DrainSchedule) {
         let _ = self.drain.set(drain);
     }
 
-    /// Whether a request that may last until a moment can still be taken.
+    /// Whether a request that may last until `until` can still be accepted.
     pub(crate) fn can_finish(&self, until: Monotonic) -> bool {
         let drain = self.drain.get();
         drain.is_none_or(|drain| self.now() < drain.limited_from || until < drain.ends_at)
     }
 
-    /// Whether the balancer should send callers here.
+    /// Whether the load balancer should send requests to this host.
     pub(crate) fn is_ready(&self) -> bool {
         !self.is_draining() && self.view.load().is_able()
     }
@@ -122,25 +122,25 @@
         self.kept.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Runs `f` on what is known of a target.
+    /// Calls `f` with the state of a target.
     pub(crate) fn with_slot<T>(&self, target: &Target, f: impl FnOnce(&mut TargetSlot) -> T) -> T {
         f(self.routing().slots.entry(target.run.clone()).or_default())
     }
 
-    /// Takes what an engine has reported at a moment.
+    /// Records the load that an engine reported at time `at`.
     pub(crate) fn record_report(&self, run: &TargetId, load: ReportedLoad, at: Monotonic) {
         let mut routing = self.routing();
         let slot = routing.slots.entry(run.clone()).or_default();
         slot.load.record_report(load, at);
     }
 
-    /// Counts a request of a service.
+    /// Counts a request in the service's retry budget.
     pub(crate) fn record_request(&self, service: &ServiceId) {
         let now = self.now();
         self.with_budget(service, |budget| budget.record_request(now));
     }
 
-    /// Takes one repeat out of a service's budget.
+    /// Takes a retry from a service's budget; returns whether one was left.
     pub(crate) fn take_retry(&self, service: &ServiceId) -> bool {
         let now = self.now();
         let hosts = self.view.load().host_count();
@@ -149,7 +149,7 @@
         is_allowed
     }
 
-    /// Closes old connections and forgets targets that are gone.
+    /// Closes expired connections and removes the state of targets that are gone.
     pub(crate) fn remove_stale(&self) {
         let now = self.now();
         let view = self.view.load();
--- a/components/gateway/src/traffic/stream_events.rs
+++ b/components/gateway/src/traffic/stream_events.rs
@@ -1,37 +1,37 @@
 use bytes::{Bytes, BytesMut};
 
-/// Longest event kept back until it is whole, in bytes.
+/// Longest event that is held back until it is whole, in bytes.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// How far a stream got.
+/// Position in a stream of events.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Progress {
-    /// Identifier of the last whole event that was passed on.
+    /// Id of the last whole event that was passed on.
     pub last_event: Option<String>,
     /// Whole events that were passed on.
     pub events: u64,
 }
 
-/// Cuts a stream of events at their ends, so that another target can go on after the last whole one.
+/// Splits a stream at event boundaries, which lets another target resume after the last whole event.
 ///
 /// ```
 /// use gateway::EventSplitter;
 ///
-/// let mut cutter = EventSplitter::default();
-/// assert_eq!(cutter.push(b"id: 1\ndata: a\n\nid: 2\nda"), "id: 1\ndata: a\n\n");
-/// assert_eq!(cutter.progress().last_event.as_deref(), Some("1"));
-/// assert!(!cutter.is_between_events());
+/// let mut splitter = EventSplitter::default();
+/// assert_eq!(splitter.push(b"id: 1\ndata: a\n\nid: 2\nda"), "id: 1\ndata: a\n\n");
+/// assert_eq!(splitter.progress().last_event.as_deref(), Some("1"));
+/// assert!(!splitter.is_between_events());
 /// ```
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    /// Bytes of an event that is not whole.
+    /// Bytes of the event that is not whole yet.
     buf: BytesMut,
-    /// What was passed on.
+    /// Position after the events that were passed on.
     progress: Progress,
 }
 
 impl EventSplitter {
-    /// Goes on after an event that the caller has already.
+    /// Creates a splitter for a stream that resumes after `last_event`.
     pub fn resume_after(last_event: Option<String>) -> Self {
         Self {
             buf: BytesMut::new(),
@@ -42,11 +42,11 @@
         }
     }
 
-    /// Takes bytes; gives back the whole events among what it holds.
+    /// Adds bytes and returns all events that are now whole.
     pub fn push(&mut self, bytes: &[u8]) -> Bytes {
         self.buf.extend_from_slice(bytes);
         let Some(end) = last_event_end(&self.buf) else {
-            // An event without an end can't be resumed; it is passed on as it is.
+            // An event above the limit is passed on in pieces; the stream can not be resumed within it.
             let is_endless = self.buf.len() > MAX_EVENT_BYTES;
             return if is_endless {
                 self.buf.split().freeze()
@@ -59,7 +59,7 @@
         whole
     }
 
-    /// How far the stream got.
+    /// Returns the position in the stream.
     pub fn progress(&self) -> &Progress {
         &self.progress
     }
@@ -69,12 +69,12 @@
         self.buf.is_empty()
     }
 
-    /// What is held back; the stream has ended.
+    /// Returns the bytes held back at the end of the stream.
     pub fn finish(&mut self) -> Bytes {
         self.buf.split().freeze()
     }
 
-    /// Forgets what is held back, for a stream that goes on elsewhere.
+    /// Discards the partial event, for a stream that another target resumes.
     pub fn discard_partial(&mut self) {
         self.buf.clear();
     }
@@ -90,12 +90,12 @@
                 self.progress.last_event = Some(id);
             }
         }
-        // The empty piece behind the last line break is no event.
+        // The empty piece after the last line break is not an event.
         self.progress.events = self.progress.events.saturating_sub(1);
     }
 }
 
-/// Where the last whole event ends: behind an empty line.
+/// Returns the end of the last whole event, which an empty line terminates.
 fn last_event_end(buf: &[u8]) -> Option<usize> {
     let plain = rfind(buf, b"\n\n").map(|at| at + 2);
     let crlf = rfind(buf, b"\r\n\r\n").map(|at| at + 4);
--- a/components/gateway/tests/kept.rs
+++ b/components/gateway/tests/kept.rs
@@ -1,4 +1,5 @@
-//! Kept cache: only whole parts of the run that still answers are fetched, and only what no store holds is saved.
+//! Kept cache: fetches use only whole parts of a store's current run, and saves only parts that no store
+//! holds.
 
 mod support;
 
@@ -52,19 +53,19 @@
     }
 }
 
-/// What a host knows that has heard everything at a moment: the declarations, the clock, and the stores' changes.
-fn informed(at: u64, heard: &[(&str, StoreChanges)]) -> KeptCache {
+/// Returns the state of a host that has received the declarations, the clock and the stores' changes at `at`.
+fn state_at(at: u64, received: &[(&str, StoreChanges)]) -> KeptCache {
     let mut kept = KeptCache::default();
     kept.record_declared(ms(at));
     kept.record_clock(50_000, ms(at));
-    for (address, changes) in heard {
+    for (address, changes) in received {
         kept.store(&Arc::from(*address))
             .apply_changes(changes.clone(), ms(at), ms(at));
     }
     kept
 }
 
-/// Asks a store again, which has nothing new.
+/// Applies an answer of a store without changes.
 fn confirm(kept: &mut KeptCache, address: &str, epoch: u64, at: u64) {
     let next = kept.store(&address.into()).next();
     kept.store(&address.into())
@@ -72,7 +73,7 @@
 }
 
 #[test]
-fn a_store_in_a_new_run_holds_nothing_of_before() {
+fn a_new_run_of_a_store_clears_its_directory() {
     let mut directory = StoreDirectory::default();
     directory.apply_changes(changes(1, 2, &["b"]), ms(0), ms(0));
     assert!(directory.holds(&key("b"), ms(10)));
@@ -90,7 +91,7 @@
 }
 
 #[test]
-fn a_gap_calls_for_a_list() {
+fn a_gap_requires_a_list() {
     let mut directory = StoreDirectory::default();
     let gap = StoreChanges {
         has_gap: true,
@@ -131,46 +132,46 @@
 }
 
 #[test]
-fn shared_parts_are_saved_once_and_the_own_part_never() {
+fn shared_parts_are_saved_once_and_the_last_part_never() {
     let stores = [store("near", true), store("far", false)];
-    let mut kept = informed(0, &[("near", changes(1, 0, &[])), ("far", changes(1, 0, &[]))]);
+    let mut kept = state_at(0, &[("near", changes(1, 0, &[])), ("far", changes(1, 0, &[]))]);
     confirm(&mut kept, "near", 1, 6_000);
     confirm(&mut kept, "far", 1, 6_000);
     let near = Some(Arc::from("near"));
     let first = plan(&mut kept, &stores, None, 6_000);
     assert_eq!(first.save, [near.clone(), near, None]);
-    let again = plan(&mut kept, &stores, None, 7_000);
-    assert_eq!(again.save, [None, None, None]);
+    let second = plan(&mut kept, &stores, None, 7_000);
+    assert_eq!(second.save, [None, None, None]);
 }
 
 #[test]
-fn a_kept_part_is_fetched_until_a_moment_of_the_servers_clock() {
+fn a_fetch_has_a_deadline_on_the_servers_clock() {
     let stores = [store("near", true)];
-    let mut kept = informed(1_000, &[("near", changes(1, 2, &["b"]))]);
+    let mut kept = state_at(1_000, &[("near", changes(1, 2, &["b"]))]);
     let plan = plan(&mut kept, &stores, None, 2_000);
     assert_eq!(plan.fetch, [None, Some("near".into()), None]);
     assert_eq!(plan.fetch_until_ms, Some(51_700));
 }
 
 #[test]
-fn nothing_is_fetched_that_may_have_been_dropped_meanwhile() {
+fn parts_that_may_have_been_dropped_are_not_fetched() {
     let stores = [store("near", true)];
     let fetch = |kept: &mut KeptCache, at| plan(kept, &stores, None, at).fetch;
     let nothing = [None, None, None];
-    let mut silent_store = informed(0, &[("near", changes(1, 2, &["b"]))]);
+    let mut silent_store = state_at(0, &[("near", changes(1, 2, &["b"]))]);
     assert_ne!(fetch(&mut silent_store, 3_400), nothing);
     silent_store.record_declared(ms(3_500));
     assert_eq!(fetch(&mut silent_store, 3_500), nothing);
-    let mut no_declarations = informed(0, &[("near", changes(1, 2, &["b"]))]);
-    confirm(&mut no_declarations, "near", 1, 3_900);
-    assert_ne!(fetch(&mut no_declarations, 3_900), nothing);
-    assert_eq!(fetch(&mut no_declarations, 4_000), nothing);
+    let mut old_declarations = state_at(0, &[("near", changes(1, 2, &["b"]))]);
+    confirm(&mut old_declarations, "near", 1, 3_900);
+    assert_ne!(fetch(&mut old_declarations, 3_900), nothing);
+    assert_eq!(fetch(&mut old_declarations, 4_000), nothing);
 }
 
 #[test]
-fn what_replaced_weights_made_is_neither_fetched_nor_saved() {
+fn cache_of_replaced_weights_is_neither_fetched_nor_saved() {
     let stores = [store("near", true)];
-    let mut kept = informed(0, &[("near", changes(1, 2, &["b"]))]);
+    let mut kept = state_at(0, &[("near", changes(1, 2, &["b"]))]);
     confirm(&mut kept, "near", 1, 6_000);
     kept.record_declared(ms(6_000));
     let prompt = prompt();
@@ -192,7 +193,7 @@
 }
 
 #[test]
-fn what_no_store_holds_comes_from_the_engine_that_read_it() {
+fn a_part_that_no_store_holds_is_fetched_from_its_owner() {
     let owner: Arc<str> = "10.0.0.1:80".into();
     let plan = plan(&mut KeptCache::default(), &[], Some(&owner), 0);
     assert_eq!(plan.fetch, [Some(owner.clone()), Some(owner), None]);
@@ -207,20 +208,20 @@
 }
 
 #[test]
-fn a_store_in_a_new_run_gets_no_saves_until_nobody_fetches_from_the_old_one() {
+fn a_restarted_store_gets_no_saves_while_old_fetches_may_run() {
     let stores = [store("near", true)];
-    let mut kept = informed(10_000, &[("near", changes(1, 0, &[]))]);
-    // Relied upon for 3.5 s by others, who fetch for 0.7 s, and half a second to be safe.
-    let at = |kept: &mut KeptCache, now| {
+    let mut kept = state_at(10_000, &[("near", changes(1, 0, &[]))]);
+    // Other hosts use the old state for 3.5 s and fetch for 0.7 s; half a second is a margin.
+    let saves_at = |kept: &mut KeptCache, now| {
         confirm(kept, "near", 1, now);
         plan(kept, &stores, None, now).save
     };
-    assert_eq!(at(&mut kept, 14_600), [None, None, None]);
+    assert_eq!(saves_at(&mut kept, 14_600), [None, None, None]);
     let near = Some(Arc::from("near"));
-    assert_eq!(at(&mut kept, 14_700), [near.clone(), near, None]);
+    assert_eq!(saves_at(&mut kept, 14_700), [near.clone(), near, None]);
 }
 
-/// Passes on what a host lacks that was told everything before a number.
+/// Applies at one host the changes that another host holds since `number`; returns the next number.
 fn pass_on(from: &StoreDirectory, to: &mut StoreDirectory, number: Option<u64>, at: u64) -> u64 {
     let (update, next) = from.update_since(number, ms(at));
     to.apply_update(update, ms(at), ms(at));
@@ -228,12 +229,12 @@
 }
 
 #[test]
-fn a_host_learns_from_another_what_a_store_holds() {
+fn store_state_is_forwarded_between_hosts() {
     let (mut watcher, mut other) = (StoreDirectory::default(), StoreDirectory::default());
     watcher.apply_changes(changes(1, 3, &["a", "b"]), ms(1_000), ms(1_000));
     let next = pass_on(&watcher, &mut other, None, 2_000);
     assert!(other.holds(&key("a"), ms(4_400)) && other.holds(&key("b"), ms(4_400)));
-    // As old as at the host that told it.
+    // The state is as old as at the host that sent it.
     assert!(!other.holds(&key("a"), ms(4_500)));
     watcher.record_dropped(&[key("a")]);
     watcher.apply_changes(changes(1, 4, &["c"]), ms(4_000), ms(4_000));
@@ -245,7 +246,7 @@
 }
 
 #[test]
-fn a_store_that_restarted_holds_nothing_for_those_who_are_told_either() {
+fn a_restart_of_a_store_clears_its_directory_at_other_hosts() {
     let (mut watcher, mut other) = (StoreDirectory::default(), StoreDirectory::default());
     watcher.apply_changes(changes(1, 3, &["a", "b"]), ms(0), ms(0));
     let next = pass_on(&watcher, &mut other, None, 100);
@@ -259,7 +260,7 @@
 }
 
 #[test]
-fn a_host_that_is_far_behind_is_told_all_of_a_store() {
+fn a_host_that_is_far_behind_receives_the_whole_content() {
     let (mut watcher, mut other) = (StoreDirectory::default(), StoreDirectory::default());
     watcher.apply_changes(changes(1, 1, &["gone"]), ms(0), ms(0));
     let next = pass_on(&watcher, &mut other, None, 100);
--- a/components/gateway/tests/overload.rs
+++ b/components/gateway/tests/overload.rs
@@ -1,4 +1,5 @@
-//! Placement under load patterns: an idle fleet, a burst, lost engines, a hot session, a grey target, replaced weights.
+//! Placement under load: an idle fleet, a burst, lost engines, a hot session, a failing target, replaced
+//! weights.
 
 mod support;
 
@@ -9,7 +10,7 @@
 };
 use support::ms;
 
-/// Tokens that an engine's memory holds.
+/// Memory of an engine, in tokens.
 const MEMORY: u64 = 160_000;
 
 fn engine() -> Candidate {
@@ -57,18 +58,18 @@
 }
 
 #[test]
-fn a_hot_session_leaves_its_home_when_it_would_be_late() {
+fn a_hot_session_moves_to_a_stored_copy_when_its_owner_is_overloaded() {
     let owner = Candidate {
         cache_hit_chance: 0.9,
         requests: 40.0,
         prefill_backlog: 60_000,
         ..engine()
     };
-    let kept_by_a_store = Candidate {
+    let held_by_a_store = Candidate {
         cache_hit_chance: 0.85,
         ..engine()
     };
-    assert_eq!(sent(&prompt(2), &[owner, kept_by_a_store]), 1);
+    assert_eq!(sent(&prompt(2), &[owner, held_by_a_store]), 1);
 }
 
 #[test]
@@ -84,7 +85,7 @@
 }
 
 #[test]
-fn nothing_is_refused_while_nothing_waits() {
+fn no_request_is_refused_while_none_waits() {
     let filled = Candidate {
         memory: (159_000.0, MEMORY),
         ..engine()
@@ -96,7 +97,7 @@
 }
 
 #[test]
-fn one_engine_with_room_takes_what_the_full_ones_can_not() {
+fn a_request_goes_to_the_only_engine_with_room() {
     let full = Candidate {
         memory: (150_000.0, MEMORY),
         waiting: 5.0,
@@ -107,7 +108,7 @@
 }
 
 #[test]
-fn replaced_weights_serve_only_when_the_new_ones_are_late() {
+fn an_engine_with_the_newest_weights_is_preferred() {
     let old = Candidate {
         has_old_weights: true,
         cache_hit_chance: 0.9,
@@ -117,8 +118,8 @@
 }
 
 #[test]
-fn a_grey_target_gets_less() {
-    let grey = Candidate {
+fn a_target_with_failures_is_avoided() {
+    let failing = Candidate {
         failures: 0.4,
         ..engine()
     };
@@ -133,7 +134,7 @@
         sent(
             &plain,
             &[
-                grey,
+                failing,
                 Candidate {
                     distance: 1,
                     ..engine()
@@ -145,7 +146,7 @@
 }
 
 #[test]
-fn plain_requests_are_never_refused_for_want_of_memory() {
+fn plain_requests_are_never_refused_for_lack_of_memory() {
     let busy = Candidate {
         memory: (1e9, MEMORY),
         waiting: 9.0,
@@ -159,7 +160,7 @@
 }
 
 #[test]
-fn an_engine_that_answers_nothing_counts_as_waiting() {
+fn overdue_requests_count_as_waiting() {
     let mut load = LoadEstimate::default();
     let work = Work {
         memory: 12_000,
@@ -174,7 +175,7 @@
 }
 
 #[test]
-fn an_old_report_fades_to_what_is_typical() {
+fn an_old_report_decays_to_the_expected_load() {
     let mut load = LoadEstimate::default();
     let note = LoadNote {
         running: 40,
@@ -183,12 +184,12 @@
     };
     load.record_answer_load(note, ms(0));
     assert_eq!(load.requests(8.0, ms(0)), 50.0);
-    let faded = load.requests(8.0, ms(20_000));
-    assert!((7.9..8.1).contains(&faded), "{faded}");
+    let decayed = load.requests(8.0, ms(20_000));
+    assert!((7.9..8.1).contains(&decayed), "{decayed}");
 }
 
 #[test]
-fn a_target_that_can_not_be_reached_is_left_alone_longer_and_longer() {
+fn pauses_of_an_unreachable_target_grow() {
     let mut load = LoadEstimate::default();
     load.record_outcome(SendOutcome::Unreachable, ms(0));
     assert!(load.is_paused(ms(299)) && !load.is_paused(ms(300)));
@@ -200,14 +201,14 @@
 }
 
 #[test]
-fn nine_hosts_together_keep_the_budget_of_repeats() {
+fn nine_hosts_together_stay_within_the_retry_budget() {
     let (ratio, slack, window) = (0.2, 58.0, Duration::from_secs(10));
     let mut hosts: Vec<_> = (0..9).map(|_| RetryBudget::new(ratio, slack, window)).collect();
     let mut taken = Vec::new();
     let mut requests = Vec::new();
     for step in 0..3_000u64 {
         let now = ms(10 * step);
-        // Host 0 gets half of all requests; every request asks for a repeat.
+        // Host 0 receives more than half of all requests; every request asks for a retry.
         let host = if step % 2 == 0 { 0 } else { (step / 2 % 9) as usize };
         hosts[host].record_request(now);
         requests.push(now);
@@ -225,13 +226,13 @@
 }
 
 #[test]
-fn of_equal_engines_the_one_that_is_connected_is_taken() {
+fn an_idle_connection_decides_between_equal_engines() {
     let new = Candidate {
         is_connected: false,
         ..engine()
     };
     assert_eq!(sent(&prompt(1), &[new, engine(), new]), 1);
-    // A prompt that has to be read again costs more than a connection.
+    // Recomputing the prompt costs more than opening a connection.
     let holder = Candidate {
         is_connected: false,
         cache_hit_chance: 0.9,
@@ -241,7 +242,7 @@
 }
 
 #[test]
-fn a_report_tells_of_what_other_hosts_have_sent() {
+fn a_report_counts_requests_of_other_hosts() {
     let mut load = LoadEstimate::default();
     let own = Work {
         memory: 10_000,
@@ -256,14 +257,15 @@
     load.record_report(report, ms(1_000));
     assert!((load.memory(4_000.0, 0.0, ms(1_000)) - 80_000.0).abs() < 1.0);
     assert!((load.requests(0.0, ms(1_000)) - 9.0).abs() < 0.1);
-    // Own sends count at once. Of what others have, half is as reported, half as 6.5 typical requests would take.
+    // Own sends count at once. After one half-life, the memory of others is half of the reported one and half
+    // of what 6.5 requests take, the estimate from the report of 8 and the expected 5.
     load.record_start(own, ms(2_000));
     let later = load.memory(4_000.0, 5.0, ms(2_000));
     assert!((later - (20_000.0 + 35_000.0 + 13_000.0)).abs() < 1.0, "{later}");
 }
 
 #[test]
-fn an_older_report_does_not_replace_what_an_answer_said() {
+fn an_older_report_does_not_replace_the_load_of_an_answer() {
     let mut load = LoadEstimate::default();
     let note = LoadNote {
         running: 3,
--- a/components/gateway/tests/quarantine.rs
+++ b/components/gateway/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the targets that run them, seen by several hosts.
+//! Quarantine of requests that crash their targets, with crashes seen by several hosts.
 
 mod support;
 
@@ -16,42 +16,42 @@
     format!("crash/{}/{host}/{number}", fingerprint(body).text())
 }
 
-fn beliefs() -> Beliefs {
+fn state() -> Beliefs {
     Beliefs::new(decode(), Duration::from_secs(2))
 }
 
 #[test]
-fn one_crash_each_at_two_hosts_is_enough() {
-    let mut beliefs = beliefs();
+fn one_crash_at_each_of_two_hosts_quarantines_a_request() {
+    let mut state = state();
     let rows = [
         row(&key("bad", "one", 1), "", 1),
         row(&key("good", "one", 1), "", 2),
     ];
-    beliefs.apply(Table::Shared, snapshot(2, rows), Learned::Store, ms(0));
-    assert!(beliefs.publish().unwrap().quarantined.is_empty());
+    state.apply(Table::Shared, snapshot(2, rows), Learned::Store, ms(0));
+    assert!(state.publish().unwrap().quarantined.is_empty());
     let rows = [row(&key("bad", "two", 1), "", 3)];
-    beliefs.apply(Table::Shared, snapshot(3, rows), Learned::Store, ms(100));
-    let quarantined = beliefs.publish().unwrap().quarantined;
+    state.apply(Table::Shared, snapshot(3, rows), Learned::Store, ms(100));
+    let quarantined = state.publish().unwrap().quarantined;
     assert!(quarantined.contains(&fingerprint("bad")) && quarantined.len() == 1);
 }
 
 #[test]
-fn old_crashes_are_named_for_removal_and_forgotten_once_removed() {
-    let mut beliefs = beliefs();
+fn old_crashes_are_listed_for_removal_and_forgotten_once_removed() {
+    let mut state = state();
     let rows = [
         row(&key("bad", "one", 1), "", 1),
         row(&key("bad", "one", 2), "", 2),
     ];
-    beliefs.apply(Table::Shared, snapshot(2, rows), Learned::Store, ms(0));
-    assert!(beliefs.old_crashes(Duration::from_secs(119)).is_empty());
-    assert_eq!(beliefs.old_crashes(Duration::from_secs(120)).len(), 2);
+    state.apply(Table::Shared, snapshot(2, rows), Learned::Store, ms(0));
+    assert!(state.old_crashes(Duration::from_secs(119)).is_empty());
+    assert_eq!(state.old_crashes(Duration::from_secs(120)).len(), 2);
     let rows = [removed(&key("bad", "one", 1), 3)];
-    beliefs.apply(Table::Shared, snapshot(3, rows), Learned::Store, ms(0));
-    assert!(beliefs.publish().unwrap().quarantined.is_empty());
+    state.apply(Table::Shared, snapshot(3, rows), Learned::Store, ms(0));
+    assert!(state.publish().unwrap().quarantined.is_empty());
 }
 
 #[test]
-fn a_host_runs_a_request_no_more_after_two_crashes_and_again_after_a_success() {
+fn two_crashes_quarantine_a_request_until_a_success() {
     let mut crashes = Crashes::default();
     let bad = fingerprint("bad");
     assert_eq!(crashes.record_crash(bad, ms(0)), 1);
--- a/components/gateway/tests/streams.rs
+++ b/components/gateway/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Cutting streams of events at their ends, whatever pieces they arrive in.
+//! Splitting streams at event boundaries, for any sizes of the received pieces.
 
 use gateway::EventSplitter;
 
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_broken_event_is_held_back_and_forgotten() {
+fn a_partial_event_is_held_back_and_discarded() {
     let mut splitter = EventSplitter::default();
     let passed = splitter.push(&STREAM[..25]);
     assert_eq!(&passed[..], &STREAM[..15]);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_continued_stream_starts_after_what_the_caller_has() {
+fn a_resumed_stream_starts_after_the_callers_last_event() {
     let splitter = EventSplitter::resume_after(Some("12".to_owned()));
     assert_eq!(splitter.progress().last_event.as_deref(), Some("12"));
 }
