--- a/components/bench/src/host.rs
+++ b/components/bench/src/host.rs
@@ -166,7 +166,7 @@
         let time = Duration::from_secs_f64(now);
         match observation {
             Observation::Sent(sent) => {
-                self.directory.expect(self.keys[sent.target], &sent.pieces);
+                self.directory.add_expected(self.keys[sent.target], &sent.pieces);
                 if sent.queued_at > self.reported_at {
                     self.sent.push(sent.clone());
                 }
--- a/components/bench/src/sim.rs
+++ b/components/bench/src/sim.rs
@@ -416,7 +416,9 @@
         engine.free_at = self.now + f64::from(tokens) / SPEED;
         if resident < choice.resident {
             let key = self.hosts[req.host].keys[target];
-            self.hosts[req.host].directory.correct(key, &job.pieces, resident);
+            self.hosts[req.host]
+                .directory
+                .remove_uncached(key, &job.pieces, resident);
         }
         let computed = &self.world.computed;
         let again = job.pieces[covered..]
@@ -452,7 +454,7 @@
             self.world.computed.insert(*piece);
             self.world
                 .retention
-                .used(&self.world.workspaces[workspace], *piece, depth as u16, now);
+                .record_use(&self.world.workspaces[workspace], *piece, depth as u16, now);
             if let Some(kept) = self.world.stores[region].kept.get_mut(piece) {
                 kept.used_at = now;
             }
--- a/components/bench/src/world.rs
+++ b/components/bench/src/world.rs
@@ -1,7 +1,7 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-use policy::{Kept, Retention, VolumeBudget, WriteBack};
+use policy::{Retention, StoredPiece, VolumeBudget, WriteBack};
 use targets::{PIECE_TOKENS, PieceId};
 use utils::{RegionId, WorkspaceId};
 
@@ -50,7 +50,7 @@
     pub(crate) incarnation: u64,
     pub(crate) next_change: u64,
     pub(crate) capacity: usize,
-    pub(crate) kept: HashMap<PieceId, Kept>,
+    pub(crate) kept: HashMap<PieceId, StoredPiece>,
     pub(crate) reads: Pipe,
     pub(crate) writes: Pipe,
 }
@@ -172,7 +172,7 @@
             .enumerate()
             .map(|(depth, piece)| (depth as u16, *piece));
         let worth = named.filter(|(depth, piece)| {
-            !store.kept.contains_key(piece) && self.retention.pays(workspace, *depth, &copy)
+            !store.kept.contains_key(piece) && self.retention.is_worth_writing(workspace, *depth, &copy)
         });
         let worth: Vec<_> = worth.collect();
         let (_, done) = store.writes.send(worth.len(), PIECE_BYTES, now, f64::MAX);
@@ -190,7 +190,7 @@
         let store = &mut self.stores[region];
         let mut stored = Vec::new();
         for (depth, piece) in pieces {
-            let kept = Kept {
+            let kept = StoredPiece {
                 piece: *piece,
                 workspace: self.workspaces[workspace].clone(),
                 depth: *depth,
--- a/components/directory/src/copies.rs
+++ b/components/directory/src/copies.rs
@@ -192,7 +192,7 @@
     }
 
     /// Takes it that a target will soon hold the pieces of a prompt that was sent to it. They stay doubtful.
-    pub fn expect(&mut self, target: CandidateKey, pieces: &[PieceId]) {
+    pub fn add_expected(&mut self, target: CandidateKey, pieces: &[PieceId]) {
         let source = self.target(target);
         for piece in pieces {
             self.insert(piece, source.expected);
@@ -211,7 +211,7 @@
     }
 
     /// Takes what a target used of a prompt: it lacks the pieces from `cached` on, whatever was reported.
-    pub fn correct(&mut self, target: CandidateKey, pieces: &[PieceId], cached: usize) {
+    pub fn remove_uncached(&mut self, target: CandidateKey, pieces: &[PieceId], cached: usize) {
         let Some(source) = self.targets.get(target).copied() else {
             return;
         };
--- a/components/directory/tests/feeds.rs
+++ b/components/directory/tests/feeds.rs
@@ -80,7 +80,7 @@
 #[test]
 fn expected_pieces_are_never_certain() {
     let (mut directory, target) = (Directory::default(), target_key());
-    directory.expect(target, &[piece(0)]);
+    directory.add_expected(target, &[piece(0)]);
     let copy = directory.view().copies(&[piece(0)]).target(target);
     assert_eq!((copy.certain, copy.likely), (0, 1));
     directory.forget_expected(target);
@@ -92,7 +92,7 @@
     let (mut directory, target) = (Directory::default(), target_key());
     let pieces = [piece(0), piece(1), piece(2)];
     let _ = directory.apply_events(target, &events(1, 0, &pieces.map(CacheEvent::Stored)));
-    directory.correct(target, &pieces, 1);
+    directory.remove_uncached(target, &pieces, 1);
     assert_eq!(certain(&directory, target, &pieces), 1);
 }
 
--- a/components/entry/src/control/kept.rs
+++ b/components/entry/src/control/kept.rs
@@ -140,9 +140,10 @@
 
     /// Takes that a target has computed or read a prompt, and copies to its region's store what is worth it.
     pub(crate) fn prefilled(&mut self, prompt: &Prefilled<'_>, view: &PlacementView, now: Monotonic) {
-        self.directory.expect(prompt.key, prompt.pieces);
+        self.directory.add_expected(prompt.key, prompt.pieces);
         for (depth, piece) in prompt.pieces.iter().enumerate() {
-            self.retention.used(prompt.workspace, *piece, depth as u16, now);
+            self.retention
+                .record_use(prompt.workspace, *piece, depth as u16, now);
         }
         let Some(candidate) = view.targets.get(prompt.key) else {
             return;
@@ -164,8 +165,10 @@
         let copy = write_back(candidate, view.piece_bytes, rate);
         let mut pieces = Vec::new();
         for (depth, piece) in prompt.pieces.iter().enumerate().take(u128::BITS as usize) {
-            let is_worth =
-                held >> depth & 1 == 0 && self.retention.pays(prompt.workspace, depth as u16, &copy);
+            let is_worth = held >> depth & 1 == 0
+                && self
+                    .retention
+                    .is_worth_writing(prompt.workspace, depth as u16, &copy);
             if is_worth && self.exporting.begin(*piece, id.clone()) == TransferStart::Start {
                 pieces.push(*piece);
             }
--- a/components/entry/src/quarantine.rs
+++ b/components/entry/src/quarantine.rs
@@ -161,7 +161,7 @@
         let register = self.register();
         let states = register.suspects().map(|(request, suspicion)| SuspectState {
             fingerprint: *request,
-            crashes: suspicion.counted(),
+            crashes: suspicion.crash_count(),
             targets: suspicion.crashes.iter().map(|c| c.target.clone()).collect(),
             quarantined: suspicion.is_quarantined(),
         });
--- a/components/entry/src/retries.rs
+++ b/components/entry/src/retries.rs
@@ -31,7 +31,7 @@
 
     /// Counts a success.
     pub(crate) fn note_success(&self, is_retry: bool) {
-        self.update(|budget| budget.note_success(is_retry));
+        self.update(|budget| budget.record_success(is_retry));
     }
 
     fn update<T>(&self, change: impl Fn(&mut RetryBudget) -> T) -> T {
--- a/components/entry/src/traffic/relay.rs
+++ b/components/entry/src/traffic/relay.rs
@@ -6,7 +6,7 @@
 use futures_lite::stream::unfold;
 use http_io::{Body, SseEvent, stream_body};
 use hyper::Response;
-use policy::{Chosen, TryEnd};
+use policy::{Chosen, TryOutcome};
 use slog::info;
 use targets::{DraftEvent, DraftRequest, DraftStream, TargetError};
 use utils::WeightVersion;
@@ -281,7 +281,7 @@
     fn answered(&mut self) {
         self.ended = true;
         if let Some(watch) = &mut self.draft.watch {
-            watch.end(&TryEnd::Well);
+            watch.end(&TryOutcome::Succeeded);
         }
         let shared = &self.draft.cx.shared;
         shared.metrics.attempt("ok");
--- a/components/entry/src/traffic/watch.rs
+++ b/components/entry/src/traffic/watch.rs
@@ -3,7 +3,7 @@
 
 use errors::{Outcome, ProblemKind, events};
 use futures_lite::FutureExt;
-use policy::{Chosen, Crash, Fingerprint, Permit, Suspicion, TryEnd, TryId};
+use policy::{Chosen, Crash, Fingerprint, Permit, Suspicion, TryId, TryOutcome};
 use slog::{info, warn};
 use targets::{Engine, HttpEngine, TargetError};
 use utils::{Incarnation, TargetId, WorkspaceId};
@@ -41,7 +41,7 @@
 
 impl Drop for Watch {
     fn drop(&mut self) {
-        self.end(&TryEnd::Other);
+        self.end(&TryOutcome::Other);
     }
 }
 
@@ -68,11 +68,11 @@
     }
 
     /// Notes how the open try ended and tells the other hosts, if the request is suspect.
-    pub(crate) fn end(&mut self, end: &TryEnd) {
+    pub(crate) fn end(&mut self, end: &TryOutcome) {
         self.release();
         let Some(id) = self.open.take() else { return };
         let suspects = &self.shared.suspects;
-        let found = suspects.register().end(self.request, &id, end);
+        let found = suspects.register().record_end(self.request, &id, end);
         let Some(suspicion) = found else { return };
         if suspicion.is_suspect() {
             suspects.spread(vec![(self.request, suspicion)]);
@@ -85,11 +85,11 @@
     async fn crash(&mut self, crash: &Crash) {
         self.crashed = true;
         let suspects = &self.shared.suspects;
-        let mut rows = suspects.register().crash(crash);
+        let mut rows = suspects.register().record_crash(crash);
         let own = self.open.take();
         let own = own.and_then(|id| {
-            let end = TryEnd::Crashed(crash.clone());
-            suspects.register().end(self.request, &id, &end)
+            let end = TryOutcome::Crashed(crash.clone());
+            suspects.register().record_end(self.request, &id, &end)
         });
         rows.retain(|(request, _)| *request != self.request);
         rows.extend(own.map(|suspicion| (self.request, suspicion)));
@@ -171,7 +171,7 @@
         if register.targets_of_suspects(self.request).contains(target) {
             return false;
         }
-        register.place(self.request, target);
+        register.set_target(self.request, target);
         true
     }
 
@@ -195,7 +195,7 @@
         if others.next().is_none() && !merged.is_quarantined() {
             return true;
         }
-        self.end(&TryEnd::Other);
+        self.end(&TryOutcome::Other);
         let now = self.shared.clock.now();
         self.shared.suspects.register().merge(self.request, &merged, now);
         false
@@ -234,7 +234,7 @@
         let chosen = self.place()?;
         if let Some(watch) = &mut self.watch {
             let suspects = &watch.shared.suspects;
-            suspects.register().place(watch.request, &chosen.target);
+            suspects.register().set_target(watch.request, &chosen.target);
             watch.incarnation = suspects.incarnation(&chosen.target);
         }
         Ok(chosen)
@@ -271,7 +271,7 @@
             return Ok(None);
         };
         let Ok(report) = engine.load().await else {
-            watch.end(&TryEnd::Other);
+            watch.end(&TryOutcome::Other);
             return Ok(None);
         };
         watch
@@ -339,7 +339,7 @@
             false => None,
         };
         let Some(crash) = crash else {
-            watch.end(&TryEnd::Other);
+            watch.end(&TryOutcome::Other);
             return Ok(());
         };
         watch.crash(&crash).await;
@@ -378,5 +378,5 @@
         false => events::REQUEST_SUSPECTED,
     };
     info!(shared.log, "request aboard a crash"; event,
-        "fingerprint" => %request, "crashes" => suspicion.counted());
+        "fingerprint" => %request, "crashes" => suspicion.crash_count());
 }
--- a/components/policy/src/lib.rs
+++ b/components/policy/src/lib.rs
@@ -29,7 +29,7 @@
 };
 pub use placement_choice::CacheAware;
 pub use placement_view::{LinkView, PlacementView, ServingIndex, StoreView};
-pub use quarantine::{Crash, Fingerprint, Permit, Quarantine, Suspicion, TryEnd, TryId, fingerprint};
-pub use retention::{Kept, Retention, WriteBack};
+pub use quarantine::{Crash, Fingerprint, Permit, Quarantine, Suspicion, TryId, TryOutcome, fingerprint};
+pub use retention::{Retention, StoredPiece, WriteBack};
 pub use retry::{FailedTry, NextTry, RetryBudget, RetryDecision, StopReason, next_try};
 pub use transfers::{TransferStart, Transfers};
--- a/components/policy/src/quarantine.rs
+++ b/components/policy/src/quarantine.rs
@@ -65,18 +65,18 @@
 
 impl Suspicion {
     /// Crashes that count.
-    pub fn counted(&self) -> usize {
+    pub fn crash_count(&self) -> usize {
         self.crashes.difference(&self.excused).count()
     }
 
     /// Whether the request was aboard a target that crashed.
     pub fn is_suspect(&self) -> bool {
-        self.counted() > 0
+        self.crash_count() > 0
     }
 
     /// Whether the request may not run any more.
     pub fn is_quarantined(&self) -> bool {
-        self.counted() >= CRASHES_TO_QUARANTINE
+        self.crash_count() >= CRASHES_TO_QUARANTINE
     }
 
     /// Adds what another host knows.
@@ -121,9 +121,9 @@
 
 /// How a try ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum TryEnd {
+pub enum TryOutcome {
     /// The target answered.
-    Well,
+    Succeeded,
     /// The target crashed.
     Crashed(Crash),
     /// It was given up for another reason.
@@ -144,7 +144,7 @@
 /// The fingerprints that one host owns: it gives the permits for them, whichever host sends the request.
 ///
 /// ```
-/// use policy::{Crash, Permit, Quarantine, TryEnd, TryId};
+/// use policy::{Crash, Permit, Quarantine, TryOutcome, TryId};
 /// use std::time::Duration;
 ///
 /// let mut quarantine = Quarantine::new(Duration::from_secs(60));
@@ -154,7 +154,7 @@
 ///     let permit = quarantine.permit(bad, &id, Duration::ZERO);
 ///     assert!(matches!(permit, Permit::Run | Permit::RunAlone { .. }));
 ///     let crash = Crash { target: "engine-1".into(), incarnation };
-///     quarantine.end(bad, &id, &TryEnd::Crashed(crash));
+///     quarantine.record_end(bad, &id, &TryOutcome::Crashed(crash));
 /// }
 /// let id = TryId { host: "entry-2".into(), number: 0 };
 /// let permit = quarantine.permit(bad, &id, Duration::ZERO);
@@ -224,7 +224,7 @@
     }
 
     /// Notes the target that a permitted try goes to.
-    pub fn place(&mut self, request: Fingerprint, target: &TargetId) {
+    pub fn set_target(&mut self, request: Fingerprint, target: &TargetId) {
         if let Some(running) = self.running.get_mut(&request) {
             running.target = Some(target.clone());
         }
@@ -252,23 +252,23 @@
     }
 
     /// Notes how a try ended. Returns what peers and the table service must know before the request runs again.
-    pub fn end(&mut self, request: Fingerprint, id: &TryId, end: &TryEnd) -> Option<Suspicion> {
+    pub fn record_end(&mut self, request: Fingerprint, id: &TryId, end: &TryOutcome) -> Option<Suspicion> {
         if self.running.get(&request).is_some_and(|r| r.id == *id) {
             self.running.remove(&request);
         }
         self.orphans
             .retain(|(other, run)| *other != request || run.id != *id);
-        if *end == TryEnd::Well {
+        if *end == TryOutcome::Succeeded {
             self.remember(request);
         }
-        if let TryEnd::Crashed(crash) = end {
+        if let TryOutcome::Crashed(crash) = end {
             self.suspect(request, crash);
         }
         let suspicion = self.suspicions.get_mut(&request)?;
         if suspicion.trials.contains(id) {
             suspicion.ended.insert(id.clone());
         }
-        if *end == TryEnd::Well {
+        if *end == TryOutcome::Succeeded {
             suspicion.excuse();
         }
         Some(suspicion.clone())
@@ -276,7 +276,7 @@
 
     /// Notes that a target crashed: whatever runs on it is suspect, also if the host that sent it is gone. Returns what
     /// peers and the table service must know.
-    pub fn crash(&mut self, crash: &Crash) -> Vec<(Fingerprint, Suspicion)> {
+    pub fn record_crash(&mut self, crash: &Crash) -> Vec<(Fingerprint, Suspicion)> {
         let running = self
             .running
             .iter()
--- a/components/policy/src/retention.rs
+++ b/components/policy/src/retention.rs
@@ -52,7 +52,7 @@
 
 /// A piece on a store.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Kept {
+pub struct StoredPiece {
     /// Name of the piece.
     pub piece: Digest,
     /// Workspace that it belongs to.
@@ -82,7 +82,7 @@
 
 impl Retention {
     /// Takes that a piece was used.
-    pub fn used(&mut self, workspace: &WorkspaceId, piece: Digest, depth: u16, now: Monotonic) {
+    pub fn record_use(&mut self, workspace: &WorkspaceId, piece: Digest, depth: u16, now: Monotonic) {
         if let Some(before) = self.last.insert(piece, now) {
             let gap = now.saturating_sub(before);
             self.gaps_mut(workspace, depth).returned[bucket(gap)] += 1.0;
@@ -108,21 +108,21 @@
     }
 
     /// Seconds of computing that a kept piece is expected to save for each byte.
-    pub fn value(&self, kept: &Kept, now: Monotonic) -> f64 {
+    pub fn value(&self, kept: &StoredPiece, now: Monotonic) -> f64 {
         let age = now.saturating_sub(kept.used_at);
         let chance = self.chance(&kept.workspace, kept.depth, age, HORIZON);
         chance * kept.recompute_seconds / kept.bytes.max(1) as f64
     }
 
     /// Whether a copy is worth writing.
-    pub fn pays(&self, workspace: &WorkspaceId, depth: u16, copy: &WriteBack) -> bool {
+    pub fn is_worth_writing(&self, workspace: &WorkspaceId, depth: u16, copy: &WriteBack) -> bool {
         let chance = self.chance(workspace, depth, Duration::ZERO, HORIZON);
         let saved = (copy.recompute_seconds - copy.fetch_seconds).max(0.0) + copy.recompute_cost;
         chance * saved > copy.write_cost
     }
 
     /// The pieces of least value that free `bytes`, deeper pieces of equal value first.
-    pub fn victims(&self, kept: &[Kept], bytes: u64, now: Monotonic) -> Vec<Digest> {
+    pub fn victims(&self, kept: &[StoredPiece], bytes: u64, now: Monotonic) -> Vec<Digest> {
         let mut order: Vec<_> = kept.iter().map(|k| (self.value(k, now), k)).collect();
         order.sort_by(|(a, ka), (b, kb)| a.total_cmp(b).then(kb.depth.cmp(&ka.depth)));
         let mut freed = 0;
--- a/components/policy/src/retry.rs
+++ b/components/policy/src/retry.rs
@@ -23,7 +23,7 @@
 /// let mut budget = RetryBudget::new(0.1);
 /// while budget.take() {}
 /// for _ in 0..10 {
-///     budget.note_success(false);
+///     budget.record_success(false);
 /// }
 /// assert!(budget.take());
 /// assert!(!budget.take());
@@ -48,7 +48,7 @@
     }
 
     /// Counts a success; `is_retry` says whether a retry was taken for it.
-    pub fn note_success(&mut self, is_retry: bool) {
+    pub fn record_success(&mut self, is_retry: bool) {
         let returned = if is_retry { 1.0 } else { 0.0 };
         self.left = (self.left + self.share + returned).min(LARGEST_BUDGET);
     }
--- a/components/policy/tests/quarantine.rs
+++ b/components/policy/tests/quarantine.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use policy::{Crash, Fingerprint, Permit, Quarantine, Suspicion, TryEnd, TryId};
+use policy::{Crash, Fingerprint, Permit, Quarantine, Suspicion, TryId, TryOutcome};
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -168,11 +168,11 @@
         };
         let usable: Vec<usize> = (0..TARGETS).filter(free).collect();
         let Some(target) = usable.choose(&mut self.rng).copied() else {
-            self.report(call.request, &id, &TryEnd::Other);
+            self.report(call.request, &id, &TryOutcome::Other);
             return self.waiting.push(call);
         };
         let owner = Self::owner(&call.request);
-        self.registers[owner].place(call.request, &target_name(target));
+        self.registers[owner].set_target(call.request, &target_name(target));
         self.registers[Self::backup(owner)].mirror(call.request, &id, &target_name(target), now);
         let ticks = if call.is_bad { CRASH_TICKS } else { RUN_TICKS };
         let ends_at = self.tick + ticks;
@@ -201,7 +201,7 @@
                 self.crash(run);
             } else {
                 self.answered += usize::from(!run.is_orphan);
-                self.end(&run, &TryEnd::Well);
+                self.end(&run, &TryOutcome::Succeeded);
             }
         }
     }
@@ -224,13 +224,13 @@
         aboard.push(culprit);
         let now = self.now();
         for host in 0..HOSTS {
-            for (request, suspicion) in self.registers[host].crash(&crash) {
+            for (request, suspicion) in self.registers[host].record_crash(&crash) {
                 self.table.entry(request).or_default().merge(&suspicion);
                 self.registers[Self::owner(&request)].merge(request, &suspicion, now);
             }
         }
         for run in aboard {
-            self.end(&run, &TryEnd::Crashed(crash.clone()));
+            self.end(&run, &TryOutcome::Crashed(crash.clone()));
             if !run.is_orphan {
                 self.send_again(run.call);
             }
@@ -244,17 +244,17 @@
         }
     }
 
-    fn end(&mut self, run: &Run, end: &TryEnd) {
+    fn end(&mut self, run: &Run, end: &TryOutcome) {
         if !run.is_orphan {
             self.report(run.call.request, &run.id, end);
         }
     }
 
     /// What the owner learns is written to the table service before the request runs again.
-    fn report(&mut self, request: Fingerprint, id: &TryId, end: &TryEnd) {
+    fn report(&mut self, request: Fingerprint, id: &TryId, end: &TryOutcome) {
         let owner = Self::owner(&request);
         for register in [owner, Self::backup(owner)] {
-            if let Some(suspicion) = self.registers[register].end(request, id, end) {
+            if let Some(suspicion) = self.registers[register].record_end(request, id, end) {
                 self.table.entry(request).or_default().merge(&suspicion);
             }
         }
@@ -341,11 +341,13 @@
     let host = id("entry-1");
     let mut first = Quarantine::new(LONGEST_TRY);
     let one = first
-        .end(request, &host, &TryEnd::Crashed(crash(1)))
+        .record_end(request, &host, &TryOutcome::Crashed(crash(1)))
+        .expect("news");
+    let well = first
+        .record_end(request, &host, &TryOutcome::Succeeded)
         .expect("news");
-    let well = first.end(request, &host, &TryEnd::Well).expect("news");
     let two = first
-        .end(request, &host, &TryEnd::Crashed(crash(2)))
+        .record_end(request, &host, &TryOutcome::Crashed(crash(2)))
         .expect("news");
     let mut forward = Suspicion::default();
     let mut backward = Suspicion::default();
@@ -354,7 +356,7 @@
         .for_each(|s| forward.merge(s));
     [&two, &well, &one].into_iter().for_each(|s| backward.merge(s));
     assert_eq!(forward, backward);
-    assert_eq!((forward.counted(), forward.is_quarantined()), (1, false));
+    assert_eq!((forward.crash_count(), forward.is_quarantined()), (1, false));
 }
 
 #[test]
@@ -365,7 +367,7 @@
     let now = Duration::ZERO;
     assert_eq!(register.permit(request, &first, now), Permit::Run);
     assert_eq!(register.permit(request, &second, now), Permit::Wait);
-    register.end(request, &first, &TryEnd::Well);
+    register.record_end(request, &first, &TryOutcome::Succeeded);
     assert_eq!(register.permit(request, &second, now), Permit::Run);
     assert_eq!(register.permit(request, &first, now), Permit::Run);
 }
--- a/components/policy/tests/retention.rs
+++ b/components/policy/tests/retention.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use policy::{Kept, Retention, WriteBack};
+use policy::{Retention, StoredPiece, WriteBack};
 use utils::WorkspaceId;
 
 const HOUR: Duration = Duration::from_secs(3_600);
@@ -10,8 +10,8 @@
     let mut retention = Retention::default();
     for n in 0..400_u32 {
         let now = HOUR * n / 4;
-        retention.used(&returns, utils::digest(&(n % 8).to_le_bytes()), 3, now);
-        retention.used(&once, utils::digest(&(n + 1_000).to_le_bytes()), 3, now);
+        retention.record_use(&returns, utils::digest(&(n % 8).to_le_bytes()), 3, now);
+        retention.record_use(&once, utils::digest(&(n + 1_000).to_le_bytes()), 3, now);
     }
     (retention, returns, once)
 }
@@ -30,7 +30,7 @@
 fn pieces_that_never_return_are_dropped_first() {
     let (retention, returns, once) = learned();
     let now = 100 * HOUR;
-    let kept = |n: u32, workspace: &WorkspaceId, depth| Kept {
+    let kept = |n: u32, workspace: &WorkspaceId, depth| StoredPiece {
         piece: utils::digest(&n.to_le_bytes()),
         workspace: workspace.clone(),
         depth,
@@ -57,11 +57,11 @@
         recompute_cost: 0.0,
         write_cost: 0.05,
     };
-    assert!(retention.pays(&returns, 3, &copy));
-    assert!(!retention.pays(&once, 3, &copy));
+    assert!(retention.is_worth_writing(&returns, 3, &copy));
+    assert!(!retention.is_worth_writing(&once, 3, &copy));
     let over_the_paid_link = WriteBack {
         write_cost: 1.6,
         ..copy
     };
-    assert!(!retention.pays(&returns, 3, &over_the_paid_link));
+    assert!(!retention.is_worth_writing(&returns, 3, &over_the_paid_link));
 }
--- a/components/policy/tests/retry.rs
+++ b/components/policy/tests/retry.rs
@@ -42,7 +42,7 @@
     let mut budgets = [RetryBudget::default(); HOSTS];
     for budget in &mut budgets {
         for _ in 0..1_000 {
-            budget.note_success(false);
+            budget.record_success(false);
         }
     }
     let mut tries = vec![0; seconds + 10];
@@ -127,7 +127,7 @@
         while !waiting.is_empty() || !running.is_empty() {
             now += Duration::from_millis(1);
             let ended = running.extract_if(.., |end| *end <= now).count();
-            (0..ended).for_each(|_| budget.note_success(true));
+            (0..ended).for_each(|_| budget.record_success(true));
             answered += ended;
             for i in (0..waiting.len())
                 .rev()
