--- a/components/directory/tests/feeds.rs
+++ b/components/directory/tests/feeds.rs
@@ -39,7 +39,7 @@
 }
 
 fn certain(directory: &Directory, target: CandidateKey, pieces: &[PieceId]) -> u16 {
-    directory.view().copies(pieces).target(target).certain
+    directory.view().copies(pieces).target(target).confirmed
 }
 
 #[test]
@@ -55,7 +55,7 @@
 
     assert_eq!(directory.apply_events(target, &events(1, 5, &[])), Reread::Needed);
     let copy = directory.view().copies(&pieces).target(target);
-    assert_eq!((copy.certain, copy.likely), (0, 2));
+    assert_eq!((copy.confirmed, copy.likely), (0, 2));
 
     let snapshot = CacheSnapshot {
         incarnation: 1,
@@ -64,7 +64,7 @@
     };
     directory.apply_snapshot(target, &snapshot);
     let copy = directory.view().copies(&pieces).target(target);
-    assert_eq!((copy.certain, copy.likely), (1, 1));
+    assert_eq!((copy.confirmed, copy.likely), (1, 1));
     assert_eq!(directory.next_event(target), 6);
 }
 
@@ -82,7 +82,7 @@
     let (mut directory, target) = (Directory::default(), target_key());
     directory.add_expected(target, &[piece(0)]);
     let copy = directory.view().copies(&[piece(0)]).target(target);
-    assert_eq!((copy.certain, copy.likely), (0, 1));
+    assert_eq!((copy.confirmed, copy.likely), (0, 1));
     directory.forget_expected(target);
     assert!(directory.view().copies(&[piece(0)]).targets().is_empty());
 }
--- a/components/policy/benches/placement.rs
+++ b/components/policy/benches/placement.rs
@@ -1,4 +1,4 @@
-//! Time of a placement decision: `cargo bench -p policy --bench placement`.
+//! Measures the duration of a placement decision: `cargo bench -p policy --bench placement`.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,10 +11,10 @@
 };
 use utils::{Digest, ModelId, RegionId, WorkspaceId};
 
-/// Pieces in the prompt.
+/// Number of pieces in the prompt.
 const PIECES: u16 = 16;
 
-/// Copies of the prompt on some targets and in one store.
+/// An index that returns the same copies for every prompt.
 struct FixedCopies(Copies);
 
 impl CacheIndex for FixedCopies {
--- a/components/policy/src/admission.rs
+++ b/components/policy/src/admission.rs
@@ -7,55 +7,57 @@
 
 new_key_type! {
     /// Key of a request in a [`FairQueue`].
-    pub struct WaitKey;
+    pub struct QueueKey;
 }
 
-/// A request that waits for a target of its model.
+/// A request that is queued for a target of its model.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Waiting {
+pub struct QueuedRequest {
     /// Workspace of the caller.
     pub workspace: WorkspaceId,
-    /// Share of the workspace relative to the others; above 0.
+    /// Relative share of the workspace; greater than 0.
     pub weight: f64,
-    /// Lower is served first under load.
+    /// Priority under load; lower values are served first.
     pub priority: u8,
-    /// Prompt tokens.
+    /// Cost of the request, in prompt tokens.
     pub cost: f64,
-    /// When the first token is due.
+    /// Deadline of the first token.
     pub due: Monotonic,
-    /// Shortest time from a free target to the first token.
+    /// Minimum time from the start on a free target to the first token.
     pub expected: Duration,
 }
 
-/// Why a request does not wait.
+/// Why a request is not queued.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Shed {
+pub enum ShedReason {
     /// No target can meet its deadline.
     Deadline,
-    /// The queue is full of requests that go before it.
+    /// The queue is full and holds no request that ranks after it.
     Overload,
 }
 
-/// Requests of one workspace.
+/// The queued requests of one workspace.
 #[derive(Debug, Clone, Default)]
-struct Lane {
-    /// Requests by priority and deadline.
-    order: BTreeSet<(u8, Monotonic, WaitKey)>,
-    /// Service received, in tokens by weight.
+struct WorkspaceQueue {
+    /// Requests ordered by priority, then deadline.
+    order: BTreeSet<(u8, Monotonic, QueueKey)>,
+    /// Service received, in tokens divided by the workspace's weight.
     served: f64,
 }
 
-/// Requests that wait for targets of one model. Workspaces are served in proportion to their weights; a workspace's own
-/// requests go by priority and deadline. A full queue sheds the request of the lowest priority whose workspace waits most.
+/// Requests queued for the targets of one model, with weighted fair queueing between workspaces. Each
+/// workspace receives service in proportion to its weight; its own requests are ordered by priority, then
+/// deadline. A full queue sheds a request of the lowest priority, from the workspace with the most queued
+/// requests.
 ///
 /// ```
 /// use std::time::Duration;
-/// use policy::{FairQueue, Waiting};
+/// use policy::{FairQueue, QueuedRequest};
 ///
 /// let mut queue = FairQueue::new(100);
-/// let waiting = |workspace: &str| Waiting {
+/// let waiting = |workspace: &str| QueuedRequest {
 ///     workspace: workspace.into(),
 ///     weight: 1.0,
 ///     priority: 0,
@@ -74,143 +76,150 @@
 #[derive(Debug, Clone)]
 pub struct FairQueue {
     /// Requests by key.
-    waiting: SlotMap<WaitKey, Waiting>,
-    /// Requests by workspace.
-    lanes: BTreeMap<WorkspaceId, Lane>,
-    /// Service of the workspace that was served last.
+    waiting: SlotMap<QueueKey, QueuedRequest>,
+    /// Queues by workspace.
+    queues: BTreeMap<WorkspaceId, WorkspaceQueue>,
+    /// Service that the workspace served last had received before its request was charged.
     served: f64,
-    /// Most requests.
+    /// Maximum number of queued requests.
     capacity: usize,
 }
 
-/// What a free target finds.
+/// The result of taking a request for a free target.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Popped {
-    /// The request to run.
-    pub next: Option<(WaitKey, Waiting)>,
-    /// Requests that can no longer meet their deadlines; their callers are told `not-run`.
-    pub late: Vec<(WaitKey, Waiting)>,
+    /// The request to run, if any.
+    pub next: Option<(QueueKey, QueuedRequest)>,
+    /// Requests that can no longer meet their deadlines; their callers receive `not-run`.
+    pub expired: Vec<(QueueKey, QueuedRequest)>,
 }
 
-/// A request that waits now.
+/// A request that was queued.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Pushed {
-    /// Its key.
-    pub key: WaitKey,
-    /// The request that had to go for it; its caller is told `not-run`.
-    pub shed: Option<(WaitKey, Waiting)>,
+    /// Key of the request.
+    pub key: QueueKey,
+    /// The request that was shed to make room; its caller receives `not-run`.
+    pub shed: Option<(QueueKey, QueuedRequest)>,
 }
 
 impl FairQueue {
-    /// An empty queue for `capacity` requests.
+    /// Creates an empty queue for `capacity` requests.
     pub fn new(capacity: usize) -> Self {
         Self {
             waiting: SlotMap::with_key(),
-            lanes: BTreeMap::new(),
+            queues: BTreeMap::new(),
             served: 0.0,
             capacity,
         }
     }
 
-    /// Number of requests that wait.
+    /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether no request waits.
+    /// Whether no request is queued.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Adds a request.
+    /// Queues a request.
     ///
     /// # Errors
-    /// [`Shed`] if its deadline can't be met, or the queue is full and no request must go before it.
-    pub fn push(&mut self, req: Waiting, now: Monotonic) -> Result<Pushed, Shed> {
-        if is_late(&req, now) {
-            return Err(Shed::Deadline);
+    /// Returns [`ShedReason`] if the deadline can't be met, or if the queue is full and holds no request that
+    /// ranks after this one.
+    pub fn push(&mut self, req: QueuedRequest, now: Monotonic) -> Result<Pushed, ShedReason> {
+        if misses_deadline(&req, now) {
+            return Err(ShedReason::Deadline);
         }
         let shed = match self.waiting.len() >= self.capacity {
-            true => Some(self.shed_for(&req).ok_or(Shed::Overload)?),
+            true => Some(self.shed_for(&req).ok_or(ShedReason::Overload)?),
             false => None,
         };
         let (workspace, priority, due) = (req.workspace.clone(), req.priority, req.due);
         let key = self.waiting.insert(req);
-        let lane = self.lanes.entry(workspace).or_default();
-        if lane.order.is_empty() {
-            // Idle time earns no service.
-            lane.served = lane.served.max(self.served);
+        let queue = self.queues.entry(workspace).or_default();
+        if queue.order.is_empty() {
+            // Idle time earns no credit: the workspace starts at the current service level.
+            queue.served = queue.served.max(self.served);
         }
-        lane.order.insert((priority, due, key));
+        queue.order.insert((priority, due, key));
         Ok(Pushed { key, shed })
     }
 
-    /// Takes the next request, and those that are too late.
+    /// Takes the next request, and removes the requests before it that can no longer meet their deadlines.
     pub fn pop(&mut self, now: Monotonic) -> Popped {
-        let mut late = Vec::new();
-        while let Some(key) = self.first() {
+        let mut expired = Vec::new();
+        while let Some(key) = self.next_key() {
             let Some(req) = self.remove(key) else {
                 break;
             };
-            if is_late(&req, now) {
-                late.push((key, req));
+            if misses_deadline(&req, now) {
+                expired.push((key, req));
                 continue;
             }
             self.charge(&req);
             return Popped {
                 next: Some((key, req)),
-                late,
+                expired,
             };
         }
-        Popped { next: None, late }
+        Popped { next: None, expired }
     }
 
-    /// Removes a request whose caller is gone.
-    pub fn remove(&mut self, key: WaitKey) -> Option<Waiting> {
+    /// Removes a request, for example after its caller disconnected.
+    pub fn remove(&mut self, key: QueueKey) -> Option<QueuedRequest> {
         let req = self.waiting.remove(key)?;
-        if let Some(lane) = self.lanes.get_mut(&req.workspace) {
-            lane.order.remove(&(req.priority, req.due, key));
+        if let Some(queue) = self.queues.get_mut(&req.workspace) {
+            queue.order.remove(&(req.priority, req.due, key));
         }
         Some(req)
     }
 
-    /// First request of the workspace that was served least.
-    fn first(&self) -> Option<WaitKey> {
-        let busy = self.lanes.values().filter(|lane| !lane.order.is_empty());
-        let lane = busy.min_by(|a, b| a.served.total_cmp(&b.served))?;
-        lane.order.first().map(|(_, _, key)| *key)
+    /// Returns the first request of the workspace with the least service received.
+    fn next_key(&self) -> Option<QueueKey> {
+        let busy = self.queues.values().filter(|queue| !queue.order.is_empty());
+        let queue = busy.min_by(|a, b| a.served.total_cmp(&b.served))?;
+        queue.order.first().map(|(_, _, key)| *key)
     }
 
-    fn charge(&mut self, req: &Waiting) {
-        if let Some(lane) = self.lanes.get_mut(&req.workspace) {
-            self.served = lane.served;
-            lane.served += req.cost / req.weight.max(f64::MIN_POSITIVE);
+    fn charge(&mut self, req: &QueuedRequest) {
+        if let Some(queue) = self.queues.get_mut(&req.workspace) {
+            self.served = queue.served;
+            queue.served += req.cost / req.weight.max(f64::MIN_POSITIVE);
         }
-        // A lane without requests holds nothing but service that is already behind the others.
+        // An empty queue is kept only while its workspace has received more service than the one served last;
+        // any other starts again at the current level.
         let served = self.served;
-        self.lanes
-            .retain(|_, lane| !lane.order.is_empty() || lane.served > served);
+        self.queues
+            .retain(|_, queue| !queue.order.is_empty() || queue.served > served);
     }
 
-    /// Makes room by taking out a request that goes after `req`: of lower priority, or of the longest lane.
-    fn shed_for(&mut self, req: &Waiting) -> Option<(WaitKey, Waiting)> {
-        let longest = |lane: &Lane| {
-            lane.order
+    /// Removes the last request of the queue that ranks last, by the priority of its last request and then by
+    /// its length, if it ranks after `req`.
+    fn shed_for(&mut self, req: &QueuedRequest) -> Option<(QueueKey, QueuedRequest)> {
+        let rank = |queue: &WorkspaceQueue| {
+            queue
+                .order
                 .last()
-                .map(|(priority, _, _)| (*priority, lane.order.len()))
+                .map(|(priority, _, _)| (*priority, queue.order.len()))
         };
-        let own = self.lanes.get(&req.workspace).map_or(0, |lane| lane.order.len());
-        let lanes = self.lanes.values().filter(|lane| !lane.order.is_empty());
-        let worst = lanes.max_by_key(|lane| longest(lane))?;
-        let (priority, len) = longest(worst)?;
+        let own = self
+            .queues
+            .get(&req.workspace)
+            .map_or(0, |queue| queue.order.len());
+        let queues = self.queues.values().filter(|queue| !queue.order.is_empty());
+        let last_ranked = queues.max_by_key(|queue| rank(queue))?;
+        let (priority, len) = rank(last_ranked)?;
         if (priority, len) <= (req.priority, own + 1) {
             return None;
         }
-        let key = worst.order.last().map(|(_, _, key)| *key)?;
+        let key = last_ranked.order.last().map(|(_, _, key)| *key)?;
         self.remove(key).map(|req| (key, req))
     }
 }
 
-fn is_late(req: &Waiting, now: Monotonic) -> bool {
+fn misses_deadline(req: &QueuedRequest, now: Monotonic) -> bool {
     now + req.expected > req.due
 }
--- a/components/policy/src/backoff.rs
+++ b/components/policy/src/backoff.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-/// Waits between tries that double up to a cap and are spread by a random factor.
+/// Exponential backoff with a cap and full jitter.
 ///
 /// ```
 /// use std::time::Duration;
@@ -12,9 +12,9 @@
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Backoff {
-    /// Longest wait before the first retry.
+    /// Maximum wait before the first retry.
     pub base: Duration,
-    /// Longest wait before any retry.
+    /// Maximum wait before any retry.
     pub longest: Duration,
 }
 
@@ -28,7 +28,7 @@
 }
 
 impl Backoff {
-    /// Wait before retry number `retry`, from 1. `jitter` from 0 to 1 is drawn by the caller.
+    /// Returns the wait before retry number `retry`, counted from 1. The caller draws `jitter` from 0 to 1.
     pub fn wait(&self, retry: u32, jitter: f64) -> Duration {
         let doubled = self.base.saturating_mul(1 << retry.saturating_sub(1).min(16));
         doubled.min(self.longest).mul_f64(jitter.clamp(0.0, 1.0))
--- a/components/policy/src/baseline.rs
+++ b/components/policy/src/baseline.rs
@@ -1,13 +1,13 @@
 use utils::Monotonic;
 
-use crate::placement_choice::refusal;
+use crate::placement_choice::rejection_reason;
 use crate::placement_cost::queue_seconds;
 use crate::{
     Candidate, Chosen, CostTerms, Placement, PlacementRequest, PlacementView, Placer, Rejected,
     RejectedReason,
 };
 
-/// Chooses the target with the least waiting work; knows nothing of caches.
+/// Chooses the target with the shortest queue and prefill time, without regard to caches.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LeastLoaded;
 
@@ -22,16 +22,16 @@
         let mut best: Option<Chosen> = None;
         let mut rejected = Vec::new();
         for (key, candidate) in &view.targets {
-            if let Some(reason) = refusal(candidate, req, allowed) {
+            if let Some(reason) = rejection_reason(candidate, req, allowed) {
                 rejected.push(Rejected {
                     target: candidate.id.clone(),
                     reason,
                 });
                 continue;
             }
-            let cost = wait(candidate, req, now);
-            if let Some(kept) = best.as_ref().filter(|kept| kept.cost.total <= cost.total) {
-                debug_assert!(kept.cost.total.is_finite());
+            let cost = cost_terms(candidate, req, now);
+            if let Some(cheapest) = best.as_ref().filter(|cheapest| cheapest.cost.total <= cost.total) {
+                debug_assert!(cheapest.cost.total.is_finite());
                 let reason = RejectedReason::Costlier(cost.total);
                 rejected.push(Rejected {
                     target: candidate.id.clone(),
@@ -46,10 +46,10 @@
                 cost,
                 fetches: Vec::new(),
             };
-            if let Some(lost) = best.replace(chosen) {
-                let reason = RejectedReason::Costlier(lost.cost.total);
+            if let Some(replaced) = best.replace(chosen) {
+                let reason = RejectedReason::Costlier(replaced.cost.total);
                 rejected.push(Rejected {
-                    target: lost.target,
+                    target: replaced.target,
                     reason,
                 });
             }
@@ -62,7 +62,7 @@
     }
 }
 
-fn wait(candidate: &Candidate, req: &PlacementRequest<'_>, now: Monotonic) -> CostTerms {
+fn cost_terms(candidate: &Candidate, req: &PlacementRequest<'_>, now: Monotonic) -> CostTerms {
     let queue_seconds = queue_seconds(candidate, now);
     let speed = candidate.prefill_tokens_per_second.max(1.0);
     let prefill_seconds = f64::from(req.prompt_tokens) / speed;
--- a/components/policy/src/copies.rs
+++ b/components/policy/src/copies.rs
@@ -8,36 +8,36 @@
     pub struct StoreKey;
 }
 
-/// Most targets that a [`Copies`] names.
+/// Maximum number of targets in a [`Copies`].
 const MAX_TARGETS: usize = 32;
 
-/// Most stores that a [`Copies`] names.
+/// Maximum number of stores in a [`Copies`].
 const MAX_STORES: usize = 8;
 
-/// Most pieces of a prompt that are looked up.
+/// Maximum number of pieces of a prompt that are looked up.
 pub const MAX_PIECES: usize = 128;
 
-/// The front of a prompt that a target keeps in its cache.
+/// The leading pieces of a prompt that a target has cached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct TargetCopy {
     /// The target.
     pub target: CandidateKey,
-    /// Leading pieces that the target has reported and not dropped.
-    pub certain: u16,
-    /// Leading pieces that it has or may have; at least `certain`.
+    /// Number of leading pieces that the target has reported as stored and not as evicted.
+    pub confirmed: u16,
+    /// Number of leading pieces that are reported or expected at the target; at least `confirmed`.
     pub likely: u16,
 }
 
-/// The pieces of a prompt that a store holds.
+/// The pieces of a prompt that a store has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct StoreCopy {
     /// The store.
     pub store: StoreKey,
-    /// Bit `i` is set if the store holds piece `i`.
+    /// Bitmap of pieces: bit `i` is set if the store has piece `i`.
     pub pieces: u128,
 }
 
-/// Where the pieces of one prompt are; of fixed size, so that a lookup allocates nothing.
+/// The locations of the pieces of one prompt. Its size is fixed, which keeps lookups free of allocations.
 #[derive(Debug, Clone)]
 pub struct Copies {
     targets: [TargetCopy; MAX_TARGETS],
@@ -46,9 +46,9 @@
     store_count: usize,
 }
 
-/// Knows where pieces are kept.
+/// Looks up the locations of pieces.
 pub trait CacheIndex: Send + Sync {
-    /// Looks up the pieces of a prompt, first to last, up to the first that is nowhere.
+    /// Returns the locations of a prompt's pieces, in order, up to the first piece without a copy.
     fn copies(&self, pieces: &[Digest]) -> Copies;
 }
 
@@ -64,17 +64,17 @@
 }
 
 impl Copies {
-    /// Targets with the front of the prompt.
+    /// Returns the targets that have leading pieces of the prompt.
     pub fn targets(&self) -> &[TargetCopy] {
         &self.targets[..self.target_count]
     }
 
-    /// Stores with any piece of the prompt.
+    /// Returns the stores that have any piece of the prompt.
     pub fn stores(&self) -> &[StoreCopy] {
         &self.stores[..self.store_count]
     }
 
-    /// What a target keeps.
+    /// Returns the leading pieces that a target has; none if the target is not listed.
     pub fn target(&self, target: CandidateKey) -> TargetCopy {
         let found = self.targets().iter().find(|c| c.target == target);
         found.copied().unwrap_or(TargetCopy {
@@ -83,20 +83,20 @@
         })
     }
 
-    /// Adds that a target holds piece `index`. Pieces are added in order; one after a hole is ignored.
-    pub fn add_target(&mut self, target: CandidateKey, index: u16, is_certain: bool) {
+    /// Records that a target has piece `index`. Pieces are added in order; a piece after a gap is ignored.
+    pub fn add_target(&mut self, target: CandidateKey, index: u16, is_confirmed: bool) {
         let Some(copy) = self.target_mut(target, index) else {
             return;
         };
         if copy.likely == index {
             copy.likely += 1;
         }
-        if is_certain && copy.certain == index {
-            copy.certain += 1;
+        if is_confirmed && copy.confirmed == index {
+            copy.confirmed += 1;
         }
     }
 
-    /// Adds that a store holds piece `index`.
+    /// Records that a store has piece `index`.
     pub fn add_store(&mut self, store: StoreKey, index: u16) {
         let count = self.store_count;
         let found = self.stores[..count].iter_mut().position(|c| c.store == store);
@@ -123,7 +123,7 @@
     }
 }
 
-/// An index that knows of no copies.
+/// An index without any copies.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct NoCopies;
 
--- a/components/policy/src/ejection.rs
+++ b/components/policy/src/ejection.rs
@@ -7,60 +7,63 @@
 use crate::TargetState;
 
 new_key_type! {
-    /// Key of a target of a plain service.
+    /// Key of a target in [`ServiceTargets`].
     pub struct ServiceTargetKey;
 }
 
-/// Failures in a row that eject a target.
+/// Consecutive failures after which a target is ejected.
 const FAILURES_TO_EJECT: u32 = 5;
 
-/// Shortest time of an ejection; it doubles with each one that follows.
-const FIRST_EJECTION: Duration = Duration::from_secs(5);
+/// Duration of the first ejection; it doubles with each consecutive ejection.
+const BASE_EJECTION: Duration = Duration::from_secs(5);
 
-/// Longest time of an ejection, as a power of two of the first.
-const MAX_DOUBLINGS: u32 = 5;
+/// Maximum number of doublings of [`BASE_EJECTION`].
+const MAX_EJECTION_DOUBLINGS: u32 = 5;
 
-/// More open calls that a target of the same failure domain may have than another one.
+/// Number of additional open calls that a target in the caller's failure domain may have over one in another
+/// failure domain of the region.
 const SAME_DOMAIN_BONUS: u32 = 2;
 
-/// More open calls that a target of the same region may have than another one.
+/// Number of additional open calls that a target in the caller's region, but outside its failure domain, may
+/// have over one in another region.
 const SAME_REGION_BONUS: u32 = 2;
 
-/// A target of a plain service.
+/// A target of a plain service, with its open calls and ejection state.
 #[derive(Debug, Clone)]
 pub struct ServiceTarget {
     /// Name of the target.
     pub id: TargetId,
-    /// Where it takes calls.
+    /// Address for calls.
     pub address: SocketAddr,
-    /// Region that it stands in.
+    /// Region of the target.
     pub region: RegionId,
     /// Failure domain inside the region.
     pub failure_domain: FailureDomainId,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: TargetState,
-    /// Calls of this host that are open.
+    /// Open calls of this host to the target.
     pub outstanding: u32,
-    /// Failures in a row.
+    /// Consecutive failures.
     pub failures: u32,
-    /// Ejections in a row.
+    /// Consecutive ejections.
     pub ejections: u32,
     /// End of the current ejection.
     pub ejected_until: Option<Monotonic>,
 }
 
-/// The targets of one plain service; chooses by open calls and ejects targets that keep failing.
+/// The targets of one plain service. Balances calls by the number of open calls and ejects targets that fail
+/// repeatedly.
 ///
-/// At least half of the live targets stay in use, whatever fails, since failures of most targets point to a common
-/// cause.
+/// At least half of the live targets stay in use regardless of failures, since failures of most targets
+/// indicate a common cause.
 #[derive(Debug, Clone, Default)]
 pub struct ServiceTargets {
-    /// The targets.
+    /// The targets by key.
     pub targets: SlotMap<ServiceTargetKey, ServiceTarget>,
 }
 
 impl ServiceTarget {
-    /// A live target without open calls.
+    /// Creates a live target without open calls.
     pub fn new(id: TargetId, address: SocketAddr, region: RegionId, failure_domain: FailureDomainId) -> Self {
         Self {
             id,
@@ -82,7 +85,8 @@
 }
 
 impl ServiceTargets {
-    /// The target with the fewest open calls; near ones may have a few more than others.
+    /// Chooses the target with the fewest open calls. Targets in the caller's region or failure domain are
+    /// preferred up to a few additional open calls.
     pub fn choose(
         &self,
         region: &RegionId,
@@ -91,25 +95,25 @@
         now: Monotonic,
     ) -> Option<ServiceTargetKey> {
         let usable = |t: &ServiceTarget| t.state == TargetState::Live && !t.is_ejected(now) && allowed(t);
-        let distance = |t: &ServiceTarget| match (t.region == *region, t.failure_domain == *failure_domain) {
+        let penalty = |t: &ServiceTarget| match (t.region == *region, t.failure_domain == *failure_domain) {
             (true, true) => 0,
             (true, false) => SAME_DOMAIN_BONUS,
             (false, _) => SAME_DOMAIN_BONUS + SAME_REGION_BONUS,
         };
         let candidates = self.targets.iter().filter(|(_, t)| usable(t));
         candidates
-            .min_by_key(|(_, t)| t.outstanding + distance(t))
+            .min_by_key(|(_, t)| t.outstanding + penalty(t))
             .map(|(key, _)| key)
     }
 
-    /// Counts a call before it is sent.
+    /// Records the start of a call; the caller does so before it sends the call.
     pub fn started(&mut self, key: ServiceTargetKey) {
         if let Some(target) = self.targets.get_mut(key) {
             target.outstanding += 1;
         }
     }
 
-    /// Takes how a call ended. True if the target is ejected by it.
+    /// Records the end of a call. Returns whether it caused an ejection of the target.
     pub fn ended(&mut self, key: ServiceTargetKey, is_failure: bool, now: Monotonic) -> bool {
         let may_eject = self.may_eject(now);
         let Some(target) = self.targets.get_mut(key) else {
@@ -125,15 +129,15 @@
         if target.failures < FAILURES_TO_EJECT || target.is_ejected(now) || !may_eject {
             return false;
         }
-        let time = FIRST_EJECTION * 2_u32.pow(target.ejections.min(MAX_DOUBLINGS));
-        target.ejected_until = Some(now + time);
+        let duration = BASE_EJECTION * 2_u32.pow(target.ejections.min(MAX_EJECTION_DOUBLINGS));
+        target.ejected_until = Some(now + duration);
         target.ejections += 1;
-        // One more failure after the ejection ejects it again.
+        // A single failure after the ejection ejects the target again.
         target.failures = FAILURES_TO_EJECT - 1;
         true
     }
 
-    /// Whether half of the live targets are left in use after one more ejection.
+    /// Whether at least half of the live targets stay in use after one more ejection.
     fn may_eject(&self, now: Monotonic) -> bool {
         let live = self.targets.values().filter(|t| t.state == TargetState::Live);
         let (ejected, all) = live.fold((0, 0), |(e, n), t| (e + usize::from(t.is_ejected(now)), n + 1));
--- a/components/policy/src/lib.rs
+++ b/components/policy/src/lib.rs
@@ -1,4 +1,5 @@
-//! Pure decisions: no clock, no I/O, no threads. Each decision returns a value that explains itself.
+//! Decision logic for placement, retries, admission, quarantine and transfers, without clock, I/O or threads:
+//! time and random values are arguments. Decisions are returned as values that include their reasons.
 
 mod admission;
 mod backoff;
@@ -16,7 +17,7 @@
 mod retry;
 mod transfers;
 
-pub use admission::{FairQueue, Popped, Pushed, Shed, WaitKey, Waiting};
+pub use admission::{FairQueue, Popped, Pushed, QueueKey, QueuedRequest, ShedReason};
 pub use backoff::Backoff;
 pub use baseline::LeastLoaded;
 pub use copies::{CacheIndex, Copies, MAX_PIECES, NoCopies, StoreCopy, StoreKey, TargetCopy};
--- a/components/policy/src/limits.rs
+++ b/components/policy/src/limits.rs
@@ -2,8 +2,9 @@
 
 use utils::Monotonic;
 
-/// Demand that every host is taken to have at least, as a share of the limit; a host with no demand yet can start at once.
-const FLOOR_SHARE: f64 = 0.002;
+/// Minimum demand assumed for each host, as a share of the limit. It lets a host without demand so far admit
+/// requests at once.
+const MIN_DEMAND_SHARE: f64 = 0.002;
 
 /// A token bucket. Rates are per second.
 ///
@@ -19,96 +20,97 @@
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TokenBucket {
-    /// Tokens that are left.
-    left: f64,
-    /// Tokens added a second.
+    /// Available tokens; negative after a cost above the burst.
+    tokens: f64,
+    /// Tokens added per second.
     rate: f64,
-    /// Most tokens.
+    /// Maximum number of tokens.
     burst: f64,
     /// When tokens were last added.
-    at: Monotonic,
+    updated_at: Monotonic,
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(rate: f64, burst: f64, now: Monotonic) -> Self {
         Self {
-            left: burst,
+            tokens: burst,
             rate,
             burst,
-            at: now,
+            updated_at: now,
         }
     }
 
-    /// Changes rate and burst from now on.
+    /// Changes the rate and the burst from now on.
     pub fn set(&mut self, rate: f64, burst: f64, now: Monotonic) {
-        self.fill(now);
+        self.refill(now);
         (self.rate, self.burst) = (rate, burst);
-        self.left = self.left.min(burst);
+        self.tokens = self.tokens.min(burst);
     }
 
-    /// Takes tokens out. A cost above the burst is taken from a full bucket, which is then in debt.
+    /// Takes `cost` tokens. A cost above the burst is taken from a full bucket, whose balance becomes
+    /// negative.
     ///
     /// # Errors
-    /// The time until there are enough tokens.
+    /// Returns the time until enough tokens are available.
     pub fn take(&mut self, cost: f64, now: Monotonic) -> Result<(), Duration> {
-        self.fill(now);
+        self.refill(now);
         let needed = cost.min(self.burst);
-        if self.left + 1e-9 >= needed {
-            self.left -= cost;
+        if self.tokens + 1e-9 >= needed {
+            self.tokens -= cost;
             return Ok(());
         }
-        let seconds = (needed - self.left) / self.rate.max(1e-6);
+        let seconds = (needed - self.tokens) / self.rate.max(1e-6);
         Err(Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX))
     }
 
-    fn fill(&mut self, now: Monotonic) {
-        let seconds = now.saturating_sub(self.at).as_secs_f64();
-        self.left = (self.left + seconds * self.rate).min(self.burst);
-        self.at = self.at.max(now);
+    fn refill(&mut self, now: Monotonic) {
+        let seconds = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.tokens = (self.tokens + seconds * self.rate).min(self.burst);
+        self.updated_at = self.updated_at.max(now);
     }
 }
 
-/// Demand of one workspace at one host, smoothed. Counts what is offered, admitted or not.
+/// Smoothed demand of one workspace at one host. All offered requests count, whether admitted or not.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DemandMeter {
-    /// Demand a second.
+    /// Smoothed demand per second.
     rate: f64,
-    /// Offered since `at`.
+    /// Demand offered since `period_start`.
     offered: f64,
-    /// Start of the present period.
-    at: Monotonic,
+    /// Start of the current period.
+    period_start: Monotonic,
 }
 
 impl DemandMeter {
-    /// A meter that has seen nothing.
+    /// Creates a meter without demand.
     pub fn new(now: Monotonic) -> Self {
         Self {
             rate: 0.0,
             offered: 0.0,
-            at: now,
+            period_start: now,
         }
     }
 
-    /// Counts what a request asks for.
+    /// Adds the cost of an offered request.
     pub fn offer(&mut self, cost: f64) {
         self.offered += cost;
     }
 
-    /// Ends a period and returns the demand a second, for the heartbeat to the peers. `keep` from 0 to 1 is the weight of
-    /// earlier periods.
-    pub fn report(&mut self, keep: f64, now: Monotonic) -> f64 {
-        let seconds = now.saturating_sub(self.at).as_secs_f64();
+    /// Ends the current period and returns the smoothed demand per second, which heartbeats carry to the
+    /// peers. `history_weight` from 0 to 1 is the weight of earlier periods.
+    pub fn report(&mut self, history_weight: f64, now: Monotonic) -> f64 {
+        let seconds = now.saturating_sub(self.period_start).as_secs_f64();
         if seconds > 0.0 {
-            self.rate = keep * self.rate + (1.0 - keep) * self.offered / seconds;
-            (self.offered, self.at) = (0.0, now);
+            self.rate = history_weight * self.rate + (1.0 - history_weight) * self.offered / seconds;
+            (self.offered, self.period_start) = (0.0, now);
         }
         self.rate
     }
 }
 
-/// This host's part of a limit that holds over all hosts: in proportion to the demand that the hosts last reported. Hosts
-/// with equal views have parts that add up to the limit, without a counter that they would share.
+/// Returns this host's share of a limit that holds over all hosts, in proportion to the last reported
+/// demands. The shares of hosts with equal views add up to the limit, without a shared counter.
 ///
 /// ```
 /// let part = policy::rate_share(100.0, 30.0, [30.0, 60.0, 0.0]);
@@ -118,7 +120,7 @@
 /// assert!(idle > 0.0);
 /// ```
 pub fn rate_share(limit: f64, own: f64, reported: impl IntoIterator<Item = f64>) -> f64 {
-    let floor = limit * FLOOR_SHARE;
+    let floor = limit * MIN_DEMAND_SHARE;
     let total: f64 = reported.into_iter().map(|demand| demand.max(floor)).sum();
     if total <= 0.0 {
         return limit;
--- a/components/policy/src/links.rs
+++ b/components/policy/src/links.rs
@@ -2,40 +2,42 @@
 
 use utils::Monotonic;
 
-/// A host that is gone stays counted for this long, so that hosts whose lists differ do not share out too much.
-const HOST_HOLD: Duration = Duration::from_secs(60);
+/// Time for which a removed host still counts. It keeps the sum of the shares within the budget while the
+/// hosts' views of the host list differ.
+const REMOVED_HOST_HOLD: Duration = Duration::from_secs(60);
 
-/// Busy time that a measurement of a rate covers.
-const SAMPLE: Duration = Duration::from_millis(250);
+/// Minimum duration of a rate sample while transfers are in flight.
+const MIN_SAMPLE: Duration = Duration::from_millis(250);
 
-/// Weight of the newest sample in the measured rate.
-const NEWEST_SHARE: f64 = 0.4;
+/// Weight of the newest sample in the moving average of the rate.
+const NEWEST_WEIGHT: f64 = 0.4;
 
-/// A link is slow below this share of its usual rate.
+/// Share of the usual rate below which a normal link becomes slow.
 const SLOW_BELOW: f64 = 0.5;
 
-/// A slow link is normal again above this share of its usual rate.
+/// Share of the usual rate above which a slow link becomes normal again.
 const NORMAL_ABOVE: f64 = 0.8;
 
-/// Samples in a row that change a link's health.
+/// Consecutive samples that change a link's health.
 const SAMPLES_TO_CHANGE: u32 = 3;
 
-/// Failures in a row that cut a link.
+/// Consecutive failures that mark a link as cut.
 const FAILURES_TO_CUT: u32 = 2;
 
-/// Shortest time without the end of a started transfer that cuts a link.
-const STALL: Duration = Duration::from_secs(3);
+/// Minimum time without a finished transfer, while transfers are in flight, that marks a link as cut.
+const MIN_STALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time without the end of a transfer that cuts a link, as a multiple of the time that all started ones should take.
+/// Time without a finished transfer that marks a link as cut, as a multiple of the expected time for the
+/// whole backlog.
 const STALL_FACTOR: u32 = 2;
 
-/// Time between two trials of a link that was cut.
+/// Interval between probes of a cut link.
 const PROBE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// This host's share of a volume that all hosts of a region may send over a paid link.
+/// This host's share of the volume that all hosts of a region may send over a paid link.
 ///
-/// Shares are equal, and a host starts with nothing, so that the sum stays within the budget without a central counter,
-/// also when hosts are replaced.
+/// Shares are equal, and a host starts with zero bytes. The sum thus stays within the budget without a
+/// central counter, also when hosts are replaced.
 ///
 /// ```
 /// use std::time::Duration;
@@ -45,150 +47,153 @@
 /// ```
 #[derive(Debug, Clone)]
 pub struct VolumeBudget {
-    /// Bytes a second for all hosts together.
+    /// Bytes per second for all hosts together.
     rate: f64,
-    /// Most bytes at once for all hosts together.
+    /// Maximum burst for all hosts together, in bytes.
     burst: f64,
-    /// Hosts that share it.
+    /// Number of hosts that share the budget.
     hosts: usize,
-    /// Since when fewer hosts have been listed.
+    /// Since when the listed hosts have been fewer than `hosts`.
     fewer_since: Option<Monotonic>,
-    /// Bytes that this host may send.
-    left: f64,
-    /// When `left` was brought up to date.
-    at: Monotonic,
+    /// Bytes that this host may send now.
+    available: f64,
+    /// When `available` was last updated.
+    updated_at: Monotonic,
 }
 
 impl VolumeBudget {
-    /// A share of `rate` bytes a second and `burst` bytes at once among `hosts`.
+    /// Creates an equal share for one of `hosts` hosts of a budget of `rate` bytes per second with a burst of
+    /// `burst` bytes.
     pub fn new(rate: f64, burst: u64, hosts: usize, now: Monotonic) -> Self {
         Self {
             rate,
             burst: burst as f64,
             hosts: hosts.max(1),
             fewer_since: None,
-            left: 0.0,
-            at: now,
+            available: 0.0,
+            updated_at: now,
         }
     }
 
-    /// Takes the number of listed hosts of the region.
+    /// Sets the number of listed hosts of the region. A lower number takes effect only after it has lasted
+    /// for 60 seconds.
     pub fn set_hosts(&mut self, hosts: usize, now: Monotonic) {
         self.refill(now);
         let is_fewer = hosts < self.hosts;
-        if !is_fewer || now.saturating_sub(*self.fewer_since.get_or_insert(now)) >= HOST_HOLD {
+        if !is_fewer || now.saturating_sub(*self.fewer_since.get_or_insert(now)) >= REMOVED_HOST_HOLD {
             self.hosts = hosts.max(1);
             self.fewer_since = None;
         }
-        self.left = self.left.min(self.burst / self.hosts as f64);
+        self.available = self.available.min(self.burst / self.hosts as f64);
     }
 
-    /// Bytes that may be sent now.
+    /// Returns the bytes that this host may send now.
     pub fn left(&mut self, now: Monotonic) -> u64 {
         self.refill(now);
-        self.left as u64
+        self.available as u64
     }
 
-    /// Counts bytes before they are sent; false if they do not fit.
+    /// Takes bytes from the budget before they are sent. Returns whether the budget was sufficient.
     pub fn take(&mut self, bytes: u64, now: Monotonic) -> bool {
         self.refill(now);
-        let fits = bytes as f64 <= self.left;
+        let fits = bytes as f64 <= self.available;
         if fits {
-            self.left -= bytes as f64;
+            self.available -= bytes as f64;
         }
         fits
     }
 
     fn refill(&mut self, now: Monotonic) {
-        let elapsed = now.saturating_sub(self.at).as_secs_f64();
+        let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
         let share = 1.0 / self.hosts as f64;
-        self.left = (self.left + elapsed * self.rate * share).min(self.burst * share);
-        self.at = self.at.max(now);
+        self.available = (self.available + elapsed * self.rate * share).min(self.burst * share);
+        self.updated_at = self.updated_at.max(now);
     }
 }
 
-/// How well transfers over a link, or from a store, go.
+/// Health of a link between regions or of the connection to a store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkHealth {
-    /// Near the usual rate.
+    /// Transfers run near the usual rate.
     Normal,
-    /// Well below the usual rate.
+    /// Transfers run well below the usual rate.
     Slow,
-    /// Nothing comes through.
+    /// Transfers fail or make no progress.
     Cut,
 }
 
-/// Measures a link, or the way to a store, by the transfers over it. Hysteresis keeps its health from changing with
-/// every sample.
+/// Measures the rate and health of a link, or of the connection to a store, from its transfers. Hysteresis
+/// prevents a change of health with each sample.
 #[derive(Debug, Clone)]
 pub struct LinkMeter {
-    /// Usual rate, in bytes a second.
+    /// Usual rate, in bytes per second.
     usual: f64,
-    /// Measured rate, in bytes a second.
+    /// Measured rate, in bytes per second.
     rate: f64,
     health: LinkHealth,
-    /// Samples in a row that speak for another health.
-    against: u32,
-    /// Failures in a row.
+    /// Consecutive samples that indicate a different health.
+    opposing_samples: u32,
+    /// Consecutive failures.
     failures: u32,
-    /// Bytes started and not ended.
+    /// Bytes of transfers in flight.
     backlog: u64,
-    /// Transfers started and not ended.
+    /// Number of transfers in flight.
     open: u32,
-    /// Bytes that ended since the last sample.
-    sampled: u64,
-    /// Start of the current sample or of the wait for progress.
-    since: Monotonic,
-    /// Last time of progress, or of the first transfer after none.
-    progress: Monotonic,
-    /// When a cut link may be tried again.
+    /// Bytes finished since the start of the current sample.
+    sampled_bytes: u64,
+    /// Start of the current sample.
+    sample_start: Monotonic,
+    /// When a transfer last finished, or when the first of the transfers in flight started if that was later.
+    progress_at: Monotonic,
+    /// When a cut link may be probed next.
     probe_at: Monotonic,
 }
 
 impl LinkMeter {
-    /// A link whose usual rate is `usual` bytes a second.
+    /// Creates a meter for a link whose usual rate is `usual` bytes per second.
     pub fn new(usual: f64) -> Self {
         Self {
             usual,
             rate: usual,
             health: LinkHealth::Normal,
-            against: 0,
+            opposing_samples: 0,
             failures: 0,
             backlog: 0,
             open: 0,
-            sampled: 0,
-            since: Duration::ZERO,
-            progress: Duration::ZERO,
+            sampled_bytes: 0,
+            sample_start: Duration::ZERO,
+            progress_at: Duration::ZERO,
             probe_at: Duration::ZERO,
         }
     }
 
-    /// Health by the transfers so far.
+    /// Returns the health according to the transfers so far.
     pub fn health(&self) -> LinkHealth {
         self.health
     }
 
-    /// Measured rate, in bytes a second.
+    /// Returns the measured rate, in bytes per second.
     pub fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// Bytes of transfers that were started and have not ended.
+    /// Returns the bytes of transfers in flight.
     pub fn backlog_bytes(&self) -> u64 {
         self.backlog
     }
 
-    /// Whether a transfer may start now. A cut link takes one at a time, now and then.
+    /// Whether a transfer may start now. A cut link accepts a single transfer as a probe, at most every five
+    /// seconds.
     pub fn is_usable(&self, now: Monotonic) -> bool {
         self.health != LinkHealth::Cut || (self.open == 0 && now >= self.probe_at)
     }
 
-    /// Counts a transfer before it starts.
+    /// Records the start of a transfer.
     pub fn started(&mut self, bytes: u64, now: Monotonic) {
         if self.open == 0 {
-            self.since = now;
-            self.progress = now;
-            self.sampled = 0;
+            self.sample_start = now;
+            self.progress_at = now;
+            self.sampled_bytes = 0;
         }
         if self.health == LinkHealth::Cut {
             self.probe_at = now + PROBE_INTERVAL;
@@ -197,22 +202,22 @@
         self.backlog += bytes;
     }
 
-    /// Takes that a transfer ended well.
+    /// Records that a transfer succeeded.
     pub fn finished(&mut self, bytes: u64, now: Monotonic) {
         self.ended(bytes);
         self.failures = 0;
-        self.progress = now;
-        self.sampled += bytes;
-        let elapsed = now.saturating_sub(self.since);
-        if elapsed < SAMPLE && self.open > 0 {
+        self.progress_at = now;
+        self.sampled_bytes += bytes;
+        let elapsed = now.saturating_sub(self.sample_start);
+        if elapsed < MIN_SAMPLE && self.open > 0 {
             return;
         }
-        self.sample(self.sampled as f64 / elapsed.as_secs_f64().max(1e-6));
-        self.sampled = 0;
-        self.since = now;
+        self.sample(self.sampled_bytes as f64 / elapsed.as_secs_f64().max(1e-6));
+        self.sampled_bytes = 0;
+        self.sample_start = now;
     }
 
-    /// Takes that a transfer failed.
+    /// Records that a transfer failed.
     pub fn failed(&mut self, bytes: u64, now: Monotonic) {
         self.ended(bytes);
         self.failures += 1;
@@ -221,11 +226,11 @@
         }
     }
 
-    /// Looks for transfers without progress; call it at least once a second.
+    /// Marks the link as cut if its transfers have stalled. The caller runs it at least once per second.
     pub fn check(&mut self, now: Monotonic) {
-        let usual = Duration::from_secs_f64(self.backlog as f64 / self.rate.max(1.0));
-        let limit = STALL.max(usual * STALL_FACTOR);
-        if self.open > 0 && now.saturating_sub(self.progress) >= limit && self.health != LinkHealth::Cut {
+        let expected = Duration::from_secs_f64(self.backlog as f64 / self.rate.max(1.0));
+        let limit = MIN_STALL_TIMEOUT.max(expected * STALL_FACTOR);
+        if self.open > 0 && now.saturating_sub(self.progress_at) >= limit && self.health != LinkHealth::Cut {
             self.cut(now);
         }
     }
@@ -237,23 +242,23 @@
 
     fn cut(&mut self, now: Monotonic) {
         self.health = LinkHealth::Cut;
-        self.against = 0;
+        self.opposing_samples = 0;
         self.probe_at = now + PROBE_INTERVAL;
     }
 
     fn sample(&mut self, rate: f64) {
         let rate = rate.min(self.usual);
-        self.rate += (rate - self.rate) * NEWEST_SHARE;
+        self.rate += (rate - self.rate) * NEWEST_WEIGHT;
         let share = rate / self.usual;
-        let (next, speaks_against) = match self.health {
+        let (next, is_opposing) = match self.health {
             LinkHealth::Normal => (LinkHealth::Slow, share < SLOW_BELOW),
             LinkHealth::Slow => (LinkHealth::Normal, share > NORMAL_ABOVE),
             LinkHealth::Cut => (LinkHealth::Slow, true),
         };
-        self.against = if speaks_against { self.against + 1 } else { 0 };
-        if self.against >= SAMPLES_TO_CHANGE || self.health == LinkHealth::Cut {
+        self.opposing_samples = if is_opposing { self.opposing_samples + 1 } else { 0 };
+        if self.opposing_samples >= SAMPLES_TO_CHANGE || self.health == LinkHealth::Cut {
             self.health = next;
-            self.against = 0;
+            self.opposing_samples = 0;
         }
     }
 }
--- a/components/policy/src/placement.rs
+++ b/components/policy/src/placement.rs
@@ -12,52 +12,52 @@
     pub struct CandidateKey;
 }
 
-/// Whether a target takes new work.
+/// Whether a target accepts new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetState {
-    /// Takes new work.
+    /// Accepts new work.
     #[default]
     Live,
-    /// Finishes what it has.
+    /// Finishes its requests and accepts no new ones.
     Leaving,
-    /// Did not answer lately.
+    /// Has not responded recently.
     Suspect,
 }
 
-/// A target and what is known about it.
+/// A target with its last reported load.
 #[derive(Debug, Clone)]
 pub struct Candidate {
     /// Name of the target.
     pub id: TargetId,
-    /// Where it takes requests.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Region that it stands in.
+    /// Region of the target.
     pub region: RegionId,
     /// Failure domain inside the region.
     pub failure_domain: FailureDomainId,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: TargetState,
     /// Models and weight versions that it serves.
     pub versions: Vec<(ModelId, WeightVersion)>,
-    /// Prompt tokens that waited at the time of the report.
+    /// Prompt tokens that were queued at the time of the report.
     pub queued_prompt_tokens: u64,
-    /// Drafts that ran at the time of the report.
+    /// Drafts that were running at the time of the report.
     pub running: u32,
-    /// Most drafts that run at once.
+    /// Maximum number of concurrent drafts.
     pub slots: u32,
-    /// Prompt tokens processed a second.
+    /// Prompt tokens processed per second.
     pub prefill_tokens_per_second: f64,
-    /// When the report was taken.
+    /// When the report was made.
     pub reported_at: Monotonic,
-    /// Prompt tokens sent since the report, by this host and as far as known by its peers.
+    /// Prompt tokens sent since the report, by this host and, as far as they are reported, by its peers.
     pub sent_since_tokens: u64,
-    /// Requests of this host that are open at the target.
+    /// Open requests of this host at the target.
     pub open: u32,
 }
 
-/// A prompt that needs a target.
+/// A prompt that needs a target, with its constraints and cost weights.
 #[derive(Debug, Clone)]
 pub struct PlacementRequest<'a> {
     /// Workspace of the caller.
@@ -66,23 +66,23 @@
     pub model: &'a ModelId,
     /// Weight version to run.
     pub weight_version: WeightVersion,
-    /// Names of the prompt's full pieces.
+    /// Names of the full pieces of the prompt.
     pub pieces: &'a [Digest],
-    /// Tokens in the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Region of the deciding host.
+    /// Region of the host that decides.
     pub region: &'a RegionId,
-    /// Targets that must not be chosen.
+    /// Targets to exclude.
     pub excluded: &'a [TargetId],
-    /// Time left until the first token is due.
+    /// Time until the deadline of the first token.
     pub time_left: Duration,
-    /// Seconds that the request's workspace gives for a second until the first token.
+    /// Cost of each second until the first token, in seconds; set for the workspace.
     pub first_token_weight: f64,
-    /// Seconds given for a thousand prompt tokens computed again.
+    /// Cost of recomputing a thousand prompt tokens, in seconds.
     pub recomputed_weight: f64,
-    /// Seconds given for a megabyte over the link between regions.
+    /// Cost of a megabyte over the link between regions, in seconds.
     pub link_weight: f64,
-    /// Spreads equal decisions of different hosts.
+    /// Random seed that spreads the decisions of different hosts over equal targets.
     pub seed: u64,
 }
 
@@ -92,31 +92,32 @@
 pub struct Fetch {
     /// Name of the piece.
     pub piece: Digest,
-    /// Store host to read from.
+    /// Address of the store to read from.
     pub store: SocketAddr,
     /// Whether the transfer crosses the link between regions.
     pub crosses_regions: bool,
 }
 
-/// Parts of a candidate's cost.
+/// The cost of running a request at a candidate, by component.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 #[derive(Serialize)]
 pub struct CostTerms {
-    /// Expected wait in the target's queue, in seconds.
+    /// Expected time in the target's queue, in seconds.
     pub queue_seconds: f64,
-    /// Expected time for transfers, in seconds.
+    /// Expected duration of the transfers, in seconds.
     pub fetch_seconds: f64,
-    /// Expected time to process the rest of the prompt, in seconds.
+    /// Expected time to process the remaining prompt, in seconds.
     pub prefill_seconds: f64,
-    /// Tokens found in the target's cache.
+    /// Prompt tokens in the target's cache.
     pub resident_tokens: u32,
-    /// Tokens read from stores.
+    /// Prompt tokens read from stores.
     pub fetched_tokens: u32,
-    /// Prompt tokens computed again although they were computed before.
+    /// Prompt tokens to recompute although a copy is known, including unconfirmed pieces that are expected to
+    /// be missing.
     pub recomputed_tokens: u32,
-    /// Bytes over the link between regions.
+    /// Bytes sent over the link between regions.
     pub link_bytes: u64,
-    /// Weighted sum, in seconds.
+    /// Weighted sum of the components, in seconds.
     pub total: f64,
 }
 
@@ -124,16 +125,16 @@
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize)]
 pub struct Chosen {
-    /// Key in the view.
+    /// Key of the target in the view.
     #[serde(skip)]
     pub key: CandidateKey,
     /// Name of the target.
     pub target: TargetId,
-    /// Where it takes requests.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Parts of the cost.
+    /// Cost by component.
     pub cost: CostTerms,
-    /// Pieces to import first.
+    /// Pieces to import before the prompt runs.
     pub fetches: Vec<Fetch>,
 }
 
@@ -144,19 +145,19 @@
 pub enum RejectedReason {
     /// It is leaving.
     Leaving,
-    /// It did not answer lately.
+    /// It has not responded recently.
     Suspect,
-    /// It does not serve the model at the weight version.
+    /// It does not serve the model at the requested weight version.
     NoVersion,
-    /// It was tried before.
+    /// The request excludes it, for example after a failed try.
     Excluded,
-    /// A rule forbids the place.
+    /// The rules do not allow this target.
     Forbidden,
-    /// The budget of the link between regions has no room for the prompt.
+    /// The budget of the link between regions is too low for the prompt.
     LinkBudget,
-    /// The first token would come too late; the expected time in seconds.
+    /// The first token would miss its deadline; holds the expected time to it, in seconds.
     TooLate(f64),
-    /// Another target costs less; its own cost in seconds.
+    /// Another target costs less; holds the cost of this one, in seconds.
     Costlier(f64),
 }
 
@@ -166,25 +167,26 @@
 pub struct Rejected {
     /// Name of the target.
     pub target: TargetId,
-    /// Why.
+    /// Why it was not chosen.
     pub reason: RejectedReason,
 }
 
-/// A decision with its explanation.
+/// A placement decision with its reasons.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize)]
 pub struct Placement {
-    /// The target, if any can take the request.
+    /// The chosen target, if any target can take the request.
     pub chosen: Option<Chosen>,
-    /// The best of the others, lowest cost first.
+    /// Targets that were not chosen. [`crate::CacheAware`] lists at most five: the cheapest first, then
+    /// targets that can't take the request. [`crate::LeastLoaded`] lists all of them, unsorted.
     pub rejected: Vec<Rejected>,
-    /// Targets that were looked at.
+    /// Number of evaluated targets.
     pub considered: usize,
 }
 
 /// Decides where a prompt runs.
 pub trait Placer: Send + Sync {
-    /// Chooses a target. `allowed` says whether the rules let a candidate take the request.
+    /// Chooses a target. `allowed` returns whether the rules allow a candidate for the request.
     fn place(
         &self,
         view: &PlacementView,
--- a/components/policy/src/placement_choice.rs
+++ b/components/policy/src/placement_choice.rs
@@ -8,31 +8,31 @@
     PlacementView, Placer, Rejected, RejectedReason, TargetState,
 };
 
-/// Candidates that are kept with their costs.
-const KEPT: usize = 8;
+/// Maximum number of candidates on the shortlist.
+const SHORTLIST_LEN: usize = 8;
 
-/// Candidates that a decision explains besides the chosen one.
-const EXPLAINED: usize = 5;
+/// Maximum number of candidates that a decision lists besides the chosen one.
+const MAX_EXPLAINED: usize = 5;
 
-/// Serving targets up to which all are looked at.
-const LOOK_AT_ALL: usize = 64;
+/// Maximum number of serving targets that are all evaluated; of more, a sample is evaluated.
+const MAX_EXHAUSTIVE_TARGETS: usize = 64;
 
-/// Targets with little wait that are looked at among many.
-const SAMPLED: usize = 16;
+/// Number of targets with a short queue that are sampled.
+const SAMPLE_SIZE: usize = 16;
 
-/// Costs that differ by less count as equal, in seconds.
+/// Difference below which costs count as equal, in seconds; added to [`TIE_SHARE`].
 const TIE_SECONDS: f64 = 0.005;
 
-/// Share by which costs may differ and count as equal.
+/// Relative difference below which costs count as equal.
 const TIE_SHARE: f64 = 0.01;
 
-/// Chooses the target with the least cost of wait, transfers, processing and link use.
+/// Chooses the target with the lowest total cost of queueing, transfers, prefill and link use.
 pub struct CacheAware {
-    /// Knows where pieces are.
+    /// Index of the locations of pieces.
     index: Arc<dyn CacheIndex>,
 }
 
-/// A candidate with its cost.
+/// A candidate with its cost and fetch plan.
 #[derive(Debug, Clone, Copy, Default)]
 struct Scored {
     key: CandidateKey,
@@ -40,19 +40,19 @@
     plan: FetchPlan,
 }
 
-/// What was found so far, of fixed size.
+/// Results of the evaluation so far, in a fixed amount of memory.
 #[derive(Default)]
 struct Shortlist {
-    /// The cheapest candidates in time, cheapest first.
-    best: [Scored; KEPT],
+    /// The cheapest candidates that meet the deadline, cheapest first.
+    best: [Scored; SHORTLIST_LEN],
     len: usize,
-    /// Candidates that can not take the request.
-    refused: [Option<(CandidateKey, RejectedReason)>; EXPLAINED],
+    /// Candidates that can't take the request, with the reason.
+    rejected: [Option<(CandidateKey, RejectedReason)>; MAX_EXPLAINED],
     considered: usize,
 }
 
 impl CacheAware {
-    /// Decides with the copies that `index` knows.
+    /// Creates a placer that takes the locations of pieces from `index`.
     pub fn new(index: Arc<dyn CacheIndex>) -> Self {
         Self { index }
     }
@@ -69,38 +69,38 @@
         let copies = self.index.copies(req.pieces);
         let model = CostModel::new(view, req, &copies);
         let mut list = Shortlist::default();
-        let mut look = |key: CandidateKey| {
+        let mut evaluate = |key: CandidateKey| {
             let Some(candidate) = view.targets.get(key) else {
                 return;
             };
             list.considered += 1;
-            if let Some(reason) = refusal(candidate, req, allowed) {
-                return list.refuse(key, reason);
+            if let Some(reason) = rejection_reason(candidate, req, allowed) {
+                return list.reject(key, reason);
             }
-            if !model.is_affordable(candidate) {
-                return list.refuse(key, RejectedReason::LinkBudget);
+            if !model.fits_link_budget(candidate) {
+                return list.reject(key, RejectedReason::LinkBudget);
             }
             let (cost, plan) = model.cheapest(candidate, copies.target(key), now);
             let first_token = cost.queue_seconds.max(cost.fetch_seconds) + cost.prefill_seconds;
             if first_token > req.time_left.as_secs_f64() {
-                return list.refuse(key, RejectedReason::TooLate(first_token));
+                return list.reject(key, RejectedReason::TooLate(first_token));
             }
-            list.keep(Scored { key, cost, plan });
+            list.insert(Scored { key, cost, plan });
         };
-        match view.serving(req.model, req.weight_version) {
-            Some(keys) if keys.len() > LOOK_AT_ALL => {
-                copies.targets().iter().for_each(|c| look(c.target));
-                sample(keys, req.seed).for_each(&mut look);
+        match view.targets_serving(req.model, req.weight_version) {
+            Some(keys) if keys.len() > MAX_EXHAUSTIVE_TARGETS => {
+                copies.targets().iter().for_each(|c| evaluate(c.target));
+                sample(keys, req.seed).for_each(&mut evaluate);
             }
-            Some(keys) => rotated(keys, req.seed).for_each(&mut look),
-            None => view.targets.keys().for_each(look),
+            Some(keys) => rotated(keys, req.seed).for_each(&mut evaluate),
+            None => view.targets.keys().for_each(evaluate),
         }
         list.placement(view, req)
     }
 }
 
-/// Why a candidate can not take a request; `None` if it can.
-pub(crate) fn refusal(
+/// Returns why a candidate can't take a request; `None` if it can.
+pub(crate) fn rejection_reason(
     candidate: &Candidate,
     req: &PlacementRequest<'_>,
     allowed: &dyn Fn(&Candidate) -> bool,
@@ -116,59 +116,62 @@
     }
 }
 
-/// All keys, from one that differs between requests, so that equal costs are not always met in the same order.
+/// Iterates over all keys from a start that the seed selects, which varies the order of candidates with equal
+/// cost.
 fn rotated(keys: &[CandidateKey], seed: u64) -> impl Iterator<Item = CandidateKey> {
     let start = seed as usize % keys.len().max(1);
     keys[start..].iter().chain(&keys[..start]).copied()
 }
 
-/// Some of the keys with little wait; the first quarter is drawn from, so that hosts do not all look at the same ones.
+/// Selects keys with short queues from a start that the seed selects. The sample is drawn from the first
+/// quarter of the keys, which keeps hosts from all evaluating the same targets.
 fn sample(keys: &[CandidateKey], seed: u64) -> impl Iterator<Item = CandidateKey> {
     let quarter = keys.len() / 4;
-    let step = quarter / SAMPLED;
+    let step = quarter / SAMPLE_SIZE;
     let start = seed as usize % quarter;
-    (0..SAMPLED).map(move |n| keys[(start + n * step) % quarter])
+    (0..SAMPLE_SIZE).map(move |n| keys[(start + n * step) % quarter])
 }
 
 impl Shortlist {
-    fn keep(&mut self, scored: Scored) {
+    fn insert(&mut self, scored: Scored) {
         let at = self.best[..self.len].partition_point(|b| b.cost.total <= scored.cost.total);
-        let seen = self.best[..self.len].iter().any(|b| b.key == scored.key);
-        if at == KEPT || seen {
+        let is_listed = self.best[..self.len].iter().any(|b| b.key == scored.key);
+        if at == SHORTLIST_LEN || is_listed {
             return;
         }
-        self.len = (self.len + 1).min(KEPT);
+        self.len = (self.len + 1).min(SHORTLIST_LEN);
         self.best[at..self.len].rotate_right(1);
         self.best[at] = scored;
     }
 
-    fn refuse(&mut self, key: CandidateKey, reason: RejectedReason) {
-        if let Some(free) = self.refused.iter_mut().find(|r| r.is_none()) {
+    fn reject(&mut self, key: CandidateKey, reason: RejectedReason) {
+        if let Some(free) = self.rejected.iter_mut().find(|r| r.is_none()) {
             *free = Some((key, reason));
         }
     }
 
-    /// Two of the candidates whose cost is as good as equal, by the seed; the cheaper one.
+    /// Draws two of the candidates that tie with the lowest cost, by the seed, and returns the index of the
+    /// cheaper one.
     fn pick(&self, seed: u64) -> Option<usize> {
         let best = self.best[..self.len].first()?.cost.total;
         let bound = best + TIE_SECONDS + best.abs() * TIE_SHARE;
         let ties = self.best[..self.len].partition_point(|b| b.cost.total <= bound);
-        let one = (seed >> 32) as usize % ties;
-        let two = (seed >> 16) as usize % ties;
-        Some(one.min(two))
+        let first = (seed >> 32) as usize % ties;
+        let second = (seed >> 16) as usize % ties;
+        Some(first.min(second))
     }
 
     fn placement(self, view: &PlacementView, req: &PlacementRequest<'_>) -> Placement {
         let picked = self.pick(req.seed);
         let chosen = picked.and_then(|at| chosen(&self.best[at], view, req));
-        let mut rejected = Vec::with_capacity(EXPLAINED);
+        let mut rejected = Vec::with_capacity(MAX_EXPLAINED);
         let others = self.best[..self.len]
             .iter()
             .enumerate()
             .filter(|(at, _)| Some(*at) != picked);
         let costlier = others.map(|(_, s)| (s.key, RejectedReason::Costlier(s.cost.total)));
-        let refused = self.refused.into_iter().flatten();
-        for (key, reason) in costlier.chain(refused).take(EXPLAINED) {
+        let ineligible = self.rejected.into_iter().flatten();
+        for (key, reason) in costlier.chain(ineligible).take(MAX_EXPLAINED) {
             if let Some(candidate) = view.targets.get(key) {
                 let target = candidate.id.clone();
                 rejected.push(Rejected { target, reason });
@@ -194,12 +197,12 @@
     for (part, first, crosses_regions) in parts {
         let Some((key, pieces)) = part else { continue };
         let store = view.stores.get(key)?.address;
-        let named = req
+        let pieces_of_part = req
             .pieces
             .iter()
             .skip(usize::from(first))
             .take(usize::from(pieces));
-        fetches.extend(named.map(|piece| Fetch {
+        fetches.extend(pieces_of_part.map(|piece| Fetch {
             piece: *piece,
             store,
             crosses_regions,
--- a/components/policy/src/placement_cost.rs
+++ b/components/policy/src/placement_cost.rs
@@ -6,17 +6,17 @@
 /// Tokens in a full piece.
 const PIECE_TOKENS: u32 = 2_048;
 
-/// Bytes of prompt text for a token.
+/// Bytes of prompt text per token.
 const TEXT_BYTES_PER_TOKEN: u64 = 4;
 
-/// Expected share of doubtful pieces that the target has.
-const DOUBTFUL_SHARE: f64 = 0.5;
+/// Expected share of unconfirmed pieces that the target does have.
+const UNCONFIRMED_HIT_SHARE: f64 = 0.5;
 
-/// Expected wait for one draft to end at a target whose slots are all in use, in seconds.
+/// Expected wait for a free slot at a target whose slots are all in use, in seconds.
 const SLOT_WAIT_SECONDS: f64 = 0.5;
 
-/// Expected uses of a prompt after this one.
-const EXPECTED_RETURNS: f64 = 4.0;
+/// Expected number of later uses of a prompt.
+const EXPECTED_REUSES: f64 = 4.0;
 
 /// Bytes in a megabyte.
 const MEGABYTE: f64 = 1e6;
@@ -24,46 +24,47 @@
 /// Pieces to read from a store before the prompt runs.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub(crate) struct FetchPlan {
-    /// First piece to read.
+    /// Index of the first piece to read.
     pub(crate) first: u16,
-    /// Store inside the target's region and how many pieces to read from it.
+    /// Store in the target's region, and the number of pieces to read from it.
     pub(crate) near: Option<(StoreKey, u16)>,
-    /// Store in another region and how many pieces to read from it, after the near ones.
+    /// Store in another region, and the number of pieces to read from it after those from `near`.
     pub(crate) far: Option<(StoreKey, u16)>,
 }
 
-/// A run of pieces that one store can give.
+/// Consecutive pieces that one store can provide.
 #[derive(Debug, Clone, Copy)]
-struct Run {
+struct PieceRun {
     /// The store.
     store: StoreKey,
-    /// Pieces in a row.
+    /// Number of pieces.
     pieces: u16,
-    /// Seconds until the first transfer can start.
+    /// Time until the first transfer can start, in seconds.
     delay: f64,
-    /// Seconds for a piece.
+    /// Transfer time of one piece, in seconds.
     piece_seconds: f64,
 }
 
-/// Everything that the costs of one request's candidates share.
+/// The inputs that the costs of all candidates for one request share.
 pub(crate) struct CostModel<'a> {
     pub(crate) view: &'a PlacementView,
     pub(crate) req: &'a PlacementRequest<'a>,
     pub(crate) copies: &'a Copies,
-    /// Leading pieces that were computed before, as far as known.
-    pub(crate) known: u16,
+    /// Number of leading pieces that have a copy on some target or store.
+    pub(crate) known_pieces: u16,
 }
 
-/// Expected wait in a target's queue: the report, less what was processed since, and what was sent since.
+/// Returns the expected time in a target's queue, in seconds: the reported queue less what was processed
+/// since the report, plus what was sent since then.
 pub(crate) fn queue_seconds(candidate: &Candidate, now: Monotonic) -> f64 {
     let speed = candidate.prefill_tokens_per_second.max(1.0);
     let age = now.saturating_sub(candidate.reported_at).as_secs_f64();
     let reported = (candidate.queued_prompt_tokens as f64 / speed - age).max(0.0);
-    let slots = match candidate.running >= candidate.slots.max(1) {
+    let slot_wait = match candidate.running >= candidate.slots.max(1) {
         true => SLOT_WAIT_SECONDS,
         false => 0.0,
     };
-    reported + candidate.sent_since_tokens as f64 / speed + slots
+    reported + candidate.sent_since_tokens as f64 / speed + slot_wait
 }
 
 impl<'a> CostModel<'a> {
@@ -74,11 +75,11 @@
             view,
             req,
             copies,
-            known: on_stores.max().unwrap_or(0).max(on_targets),
+            known_pieces: on_stores.max().unwrap_or(0).max(on_targets),
         }
     }
 
-    /// The cheapest way to run the prompt at a candidate.
+    /// Returns the cheapest way to run the prompt at a candidate.
     pub(crate) fn cheapest(
         &self,
         candidate: &Candidate,
@@ -86,20 +87,20 @@
         now: Monotonic,
     ) -> (CostTerms, FetchPlan) {
         let queue = queue_seconds(candidate, now);
-        let mut best = self.cost(candidate, copy, copy.certain, queue, (None, None));
-        if copy.likely > copy.certain {
+        let mut best = self.cost(candidate, copy, copy.confirmed, queue, (None, None));
+        if copy.likely > copy.confirmed {
             best = cheaper(best, self.cost(candidate, copy, copy.likely, queue, (None, None)));
         }
-        for first in [copy.certain, copy.likely] {
+        for first in [copy.confirmed, copy.likely] {
             best = cheaper(best, self.with_fetches(candidate, copy, first, queue, best));
-            if copy.likely == copy.certain {
+            if copy.likely == copy.confirmed {
                 break;
             }
         }
         best
     }
 
-    /// The cheapest way that reads pieces from `first` on.
+    /// Returns the cheapest way that reads pieces from index `first` on.
     fn with_fetches(
         &self,
         candidate: &Candidate,
@@ -108,23 +109,24 @@
         queue: f64,
         mut best: (CostTerms, FetchPlan),
     ) -> (CostTerms, FetchPlan) {
-        let near = self.run(candidate, first, true);
+        let near = self.longest_run(candidate, first, true);
         if let Some(near) = near {
-            for near in [near.first(near.fitting(queue)), near] {
+            for near in [near.truncated(near.arriving_within(queue)), near] {
                 best = cheaper(best, self.cost(candidate, copy, first, queue, (Some(near), None)));
             }
         }
         let after = first + near.map_or(0, |n| n.pieces);
-        if let Some(far) = self.run(candidate, after, false) {
-            for far in [far.first(far.fitting(queue)), far] {
+        if let Some(far) = self.longest_run(candidate, after, false) {
+            for far in [far.truncated(far.arriving_within(queue)), far] {
                 best = cheaper(best, self.cost(candidate, copy, first, queue, (near, Some(far))));
             }
         }
         best
     }
 
-    /// The longest run of pieces from `first` on at a store in the target's region, or in another one.
-    fn run(&self, candidate: &Candidate, first: u16, is_near: bool) -> Option<Run> {
+    /// Returns the longest run of pieces from index `first` on at a store in the target's region, or in
+    /// another region if `is_near` is false.
+    fn longest_run(&self, candidate: &Candidate, first: u16, is_near: bool) -> Option<PieceRun> {
         let runs = self.copies.stores().iter().filter_map(|copy| {
             let store = self.view.stores.get(copy.store).filter(|s| s.is_usable)?;
             let pieces = copy.pieces.checked_shr(u32::from(first))?.trailing_ones() as u16;
@@ -141,9 +143,9 @@
         runs.max_by_key(|run| run.pieces)
     }
 
-    fn near_run(&self, key: StoreKey, store: &StoreView, pieces: u16) -> Run {
+    fn near_run(&self, key: StoreKey, store: &StoreView, pieces: u16) -> PieceRun {
         let rate = store.bytes_per_second.max(1.0);
-        Run {
+        PieceRun {
             store: key,
             pieces,
             delay: store.backlog_bytes as f64 / rate,
@@ -151,8 +153,8 @@
         }
     }
 
-    /// Limits a run to what the link between the regions may carry.
-    fn far_run(&self, candidate: &Candidate, store: &StoreView, run: Run) -> Option<Run> {
+    /// Limits a run to the budget and rate of the link between the regions.
+    fn far_run(&self, candidate: &Candidate, store: &StoreView, run: PieceRun) -> Option<PieceRun> {
         let link = self.view.link(&store.region, &candidate.region)?;
         let budget = link.budget_bytes.saturating_sub(self.text_bytes(candidate));
         let affordable = budget.checked_div(self.view.piece_bytes)?;
@@ -160,7 +162,7 @@
             return None;
         }
         let rate = link.bytes_per_second.max(1.0);
-        Some(Run {
+        Some(PieceRun {
             pieces: run.pieces.min(u16::try_from(affordable).unwrap_or(u16::MAX)),
             delay: run.delay.max(link.backlog_bytes as f64 / rate),
             piece_seconds: run.piece_seconds.max(self.view.piece_bytes as f64 / rate),
@@ -168,14 +170,15 @@
         })
     }
 
-    /// Cost of running at a candidate with pieces before `first` taken as cached and then `runs` read.
+    /// Computes the cost of running at a candidate if the pieces before `first` are cached there and the
+    /// given runs are read from stores.
     fn cost(
         &self,
         candidate: &Candidate,
         copy: TargetCopy,
         first: u16,
         queue: f64,
-        (near, far): (Option<Run>, Option<Run>),
+        (near, far): (Option<PieceRun>, Option<PieceRun>),
     ) -> (CostTerms, FetchPlan) {
         let near = near.filter(|run| run.pieces > 0);
         let far = far.filter(|run| run.pieces > 0);
@@ -184,22 +187,24 @@
         let fetch_seconds = runs
             .iter()
             .flatten()
-            .map(Run::seconds)
+            .map(PieceRun::seconds)
             .fold(self.text_seconds(candidate), f64::max);
-        let at_risk = if first > copy.certain {
-            first - copy.certain + fetched
+        let unconfirmed = if first > copy.confirmed {
+            first - copy.confirmed + fetched
         } else {
             0
         };
-        let lost = f64::from(at_risk) * (1.0 - DOUBTFUL_SHARE) * f64::from(PIECE_TOKENS);
+        let expected_misses =
+            f64::from(unconfirmed) * (1.0 - UNCONFIRMED_HIT_SHARE) * f64::from(PIECE_TOKENS);
         let covered = first + fetched;
         let rest = self
             .req
             .prompt_tokens
             .saturating_sub(u32::from(covered) * PIECE_TOKENS);
-        let tokens = f64::from(rest) + lost;
+        let tokens = f64::from(rest) + expected_misses;
         let prefill_seconds = tokens / candidate.prefill_tokens_per_second.max(1.0);
-        let recomputed = f64::from(self.known.saturating_sub(covered)) * f64::from(PIECE_TOKENS) + lost;
+        let recomputed =
+            f64::from(self.known_pieces.saturating_sub(covered)) * f64::from(PIECE_TOKENS) + expected_misses;
         let plan = FetchPlan {
             first,
             near: near.map(|run| (run.store, run.pieces)),
@@ -215,7 +220,7 @@
             queue_seconds: queue,
             fetch_seconds,
             prefill_seconds,
-            resident_tokens: u32::from(first.min(copy.certain)) * PIECE_TOKENS,
+            resident_tokens: u32::from(first.min(copy.confirmed)) * PIECE_TOKENS,
             fetched_tokens: u32::from(fetched) * PIECE_TOKENS,
             recomputed_tokens: recomputed as u32,
             link_bytes,
@@ -224,7 +229,7 @@
         (terms, plan)
     }
 
-    /// Bytes of the prompt's text over the link between regions.
+    /// Returns the bytes of the prompt's text that cross the link between regions.
     fn text_bytes(&self, candidate: &Candidate) -> u64 {
         match candidate.region == *self.req.region {
             true => 0,
@@ -232,7 +237,7 @@
         }
     }
 
-    /// The link that the prompt's text has to cross, if it is known.
+    /// Returns the link that the prompt's text has to cross, if there is one.
     fn text_link(&self, candidate: &Candidate) -> Option<&LinkView> {
         match candidate.region == *self.req.region {
             true => None,
@@ -240,7 +245,7 @@
         }
     }
 
-    /// Time for the prompt's text to reach the candidate's region.
+    /// Returns the time for the prompt's text to reach the candidate's region, in seconds.
     fn text_seconds(&self, candidate: &Candidate) -> f64 {
         self.text_link(candidate).map_or(0.0, |link| {
             let bytes = link.backlog_bytes + self.text_bytes(candidate);
@@ -248,38 +253,40 @@
         })
     }
 
-    /// Whether the budget of the link between regions has room for the prompt's text.
-    pub(crate) fn is_affordable(&self, candidate: &Candidate) -> bool {
+    /// Whether the budget of the link between regions is sufficient for the prompt's text.
+    pub(crate) fn fits_link_budget(&self, candidate: &Candidate) -> bool {
         let link = self.text_link(candidate);
         link.is_none_or(|link| self.text_bytes(candidate) <= link.budget_bytes)
     }
 
-    /// Bytes that later uses of the prompt are expected to send over the link, as what is computed here is kept here.
+    /// Returns the bytes that later uses of the prompt are expected to send over the link: pieces that are
+    /// computed at the candidate are cached in its region.
     fn later_link_bytes(&self, candidate: &Candidate, covered: u16) -> f64 {
         let pieces = self.req.pieces.len().max(1) as f64;
         let computed = pieces - f64::from(covered).min(pieces);
-        self.text_bytes(candidate) as f64 * EXPECTED_RETURNS * computed / pieces
+        self.text_bytes(candidate) as f64 * EXPECTED_REUSES * computed / pieces
     }
 
-    /// Bytes over the link between regions: the prompt's text, if the target is elsewhere, and pieces read from afar.
+    /// Returns the bytes that cross the link between regions: the prompt's text, if the target is in another
+    /// region, and the pieces read from a store in another region.
     fn link_bytes(&self, candidate: &Candidate, far: Option<(StoreKey, u16)>) -> u64 {
         self.text_bytes(candidate) + far.map_or(0, |(_, pieces)| u64::from(pieces) * self.view.piece_bytes)
     }
 }
 
-impl Run {
-    /// The run's first pieces.
-    fn first(self, pieces: u16) -> Self {
+impl PieceRun {
+    /// Returns the first `pieces` pieces of the run.
+    fn truncated(self, pieces: u16) -> Self {
         Self { pieces, ..self }
     }
 
-    /// Seconds until all pieces have arrived.
+    /// Returns the time until all pieces have arrived, in seconds.
     fn seconds(&self) -> f64 {
         self.delay + f64::from(self.pieces) * self.piece_seconds
     }
 
-    /// Pieces that arrive while the prompt waits anyway.
-    fn fitting(&self, queue: f64) -> u16 {
+    /// Returns the number of pieces that arrive during the wait in the queue, given in seconds.
+    fn arriving_within(&self, queue: f64) -> u16 {
         let pieces = ((queue - self.delay) / self.piece_seconds.max(1e-9)).max(0.0);
         (pieces as u16).min(self.pieces)
     }
--- a/components/policy/src/placement_view.rs
+++ b/components/policy/src/placement_view.rs
@@ -8,61 +8,62 @@
 use crate::placement_cost::queue_seconds;
 use crate::{Candidate, CandidateKey, StoreKey};
 
-/// What a placement is decided on; immutable once published.
+/// A snapshot of targets, stores and links on which placement decisions are based; immutable once published.
 #[derive(Debug, Clone, Default)]
 pub struct PlacementView {
     /// Targets by key.
     pub targets: SlotMap<CandidateKey, Candidate>,
     /// Store hosts by key.
     pub stores: SlotMap<StoreKey, StoreView>,
-    /// Links between regions, one for each direction.
+    /// Links between regions, one per direction.
     pub links: Vec<LinkView>,
-    /// Bytes of kept cache in a full piece.
+    /// Bytes of KV cache in a full piece.
     pub piece_bytes: u64,
-    /// Targets by what they serve; see [`PlacementView::build_index`].
+    /// Targets by model and weight version; see [`PlacementView::build_index`].
     pub index: ServingIndex,
 }
 
-/// Targets that serve each model and version, least wait first; empty if it was not built.
+/// The targets that serve each model and weight version, shortest queue first; empty until it is built.
 #[derive(Debug, Clone, Default)]
 pub struct ServingIndex(HashMap<ModelId, Vec<(WeightVersion, Vec<CandidateKey>)>>);
 
-/// A store host as placement sees it.
+/// A store host with its measured transfer rate and backlog.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoreView {
     /// Name of the store host.
     pub id: TargetId,
-    /// Where it takes requests.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Region that it stands in.
+    /// Region of the store.
     pub region: RegionId,
-    /// Whether transfers from it succeed.
+    /// Whether transfers from it may start.
     pub is_usable: bool,
-    /// Measured rate of transfers from it inside its region, in bytes a second.
+    /// Measured rate of transfers from it within its region, in bytes per second.
     pub bytes_per_second: f64,
-    /// Bytes of transfers that were started and have not ended.
+    /// Bytes of transfers in flight.
     pub backlog_bytes: u64,
 }
 
 /// One direction of the link between two regions.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LinkView {
-    /// Region that the bytes leave.
+    /// Region that sends.
     pub from: RegionId,
-    /// Region that they enter.
+    /// Region that receives.
     pub to: RegionId,
-    /// Whether transfers over it succeed.
+    /// Whether transfers over it may start.
     pub is_usable: bool,
-    /// Measured rate, in bytes a second.
+    /// Measured rate, in bytes per second.
     pub bytes_per_second: f64,
-    /// Bytes of transfers that were started and have not ended.
+    /// Bytes of transfers in flight.
     pub backlog_bytes: u64,
-    /// Bytes that this host may still send over it now.
+    /// Bytes that this host may send over it now.
     pub budget_bytes: u64,
 }
 
 impl PlacementView {
-    /// Sorts the targets by model and version, so that a decision among many targets looks at few of them.
+    /// Indexes the targets by model and weight version, which lets a decision among many targets evaluate
+    /// only a few.
     ///
     /// ```
     /// let mut view = policy::PlacementView::default();
@@ -87,8 +88,9 @@
         }
     }
 
-    /// The targets that serve a model at a version, least wait first; `None` if there is no index.
-    pub(crate) fn serving(&self, model: &ModelId, version: WeightVersion) -> Option<&[CandidateKey]> {
+    /// Returns the targets that serve a model at a weight version, shortest queue first; `None` if there is
+    /// no index, or if it lacks the model.
+    pub(crate) fn targets_serving(&self, model: &ModelId, version: WeightVersion) -> Option<&[CandidateKey]> {
         if self.index.0.is_empty() {
             return None;
         }
@@ -97,7 +99,7 @@
         Some(found.map_or(&[], |(_, keys)| keys))
     }
 
-    /// The link from one region to another.
+    /// Returns the link from one region to another.
     pub(crate) fn link(&self, from: &RegionId, to: &RegionId) -> Option<&LinkView> {
         self.links.iter().find(|l| l.from == *from && l.to == *to)
     }
--- a/components/policy/src/quarantine.rs
+++ b/components/policy/src/quarantine.rs
@@ -4,15 +4,15 @@
 use serde::{Deserialize, Serialize};
 use utils::{Digest, HostId, Incarnation, Monotonic, TargetId};
 
-/// Crashes after which a request is quarantined.
+/// Number of crashes after which a request is quarantined.
 const CRASHES_TO_QUARANTINE: usize = 2;
-/// Fingerprints that are remembered because a try ended well.
-const PROVEN: usize = 100_000;
+/// Maximum number of fingerprints that are remembered as known good.
+const MAX_KNOWN_GOOD: usize = 100_000;
 
-/// Names a request by workspace and body, whoever sends it and wherever.
+/// Identifies a request by workspace and body, independent of caller and host.
 pub type Fingerprint = Digest;
 
-/// Fingerprint of a request under a key that all hosts share.
+/// Computes the fingerprint of a request under a key that all hosts share.
 ///
 /// ```
 /// let key = utils::digest(b"key");
@@ -28,58 +28,58 @@
     Digest::from(*hasher.finalize().as_bytes())
 }
 
-/// One crash of one target.
+/// One crash of a target's process.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct Crash {
     /// The target.
     pub target: TargetId,
-    /// The run of the target's process that ended.
+    /// Incarnation of the target's process that crashed.
     pub incarnation: Incarnation,
 }
 
-/// One try of one request.
+/// Identifies one try of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct TryId {
-    /// Host that sends it.
+    /// Host that sends the try.
     pub host: HostId,
-    /// Number that the host gives to no other try.
+    /// Number of the try, unique at its host.
     pub number: u64,
 }
 
-/// What is known about one fingerprint. Merging is commutative, associative and idempotent, so that copies from peers and
-/// from the table service may come in any order and twice.
+/// Crash history of one fingerprint. Merging is commutative, associative and idempotent, as peers and the
+/// table service deliver copies in any order and more than once.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct Suspicion {
-    /// Crashes with the request aboard.
+    /// Crashes of targets while they ran the request.
     pub crashes: BTreeSet<Crash>,
-    /// Those that a later success has excused.
+    /// Crashes that no longer count, because a later try succeeded.
     pub excused: BTreeSet<Crash>,
-    /// Tries that ran alone among suspects.
+    /// Tries that ran on a target without other suspects.
     pub trials: BTreeSet<TryId>,
-    /// Those of them that have ended.
+    /// Entries of `trials` that have ended.
     pub ended: BTreeSet<TryId>,
 }
 
 impl Suspicion {
-    /// Crashes that count.
+    /// Returns the number of crashes that are not excused.
     pub fn crash_count(&self) -> usize {
         self.crashes.difference(&self.excused).count()
     }
 
-    /// Whether the request was aboard a target that crashed.
+    /// Whether the request ran on a target that crashed, and that crash counts.
     pub fn is_suspect(&self) -> bool {
         self.crash_count() > 0
     }
 
-    /// Whether the request may not run any more.
+    /// Whether the request is no longer permitted to run.
     pub fn is_quarantined(&self) -> bool {
         self.crash_count() >= CRASHES_TO_QUARANTINE
     }
 
-    /// Adds what another host knows.
+    /// Merges the history from another host.
     pub fn merge(&mut self, other: &Self) {
         self.crashes.extend(other.crashes.iter().cloned());
         self.excused.extend(other.excused.iter().cloned());
@@ -87,7 +87,7 @@
         self.ended.extend(other.ended.iter().cloned());
     }
 
-    /// The try that runs alone, as far as is known.
+    /// Returns the trial that is still running, if one is known.
     pub fn open_trial(&self) -> Option<&TryId> {
         self.trials.difference(&self.ended).next()
     }
@@ -104,17 +104,17 @@
 pub enum Permit {
     /// It may run on any target.
     Run,
-    /// It may run on a target that runs no other suspect; the listed targets run one. What [`Quarantine::suspicion`]
-    /// says of it must be written to the table service first.
+    /// It may run on a target that runs no other suspect; the listed targets run one. The caller must write
+    /// the value of [`Quarantine::suspicion`] to the table service first.
     RunAlone {
-        /// Targets to leave out.
+        /// Targets to exclude.
         excluded: Vec<TargetId>,
     },
-    /// The same request runs elsewhere and has not ended yet.
+    /// An equal request is running and has not ended.
     Wait,
-    /// It crashed targets and may not run.
+    /// The request crashed several targets and is rejected.
     Quarantined {
-        /// The crashes.
+        /// The crashes that count.
         crashes: Vec<Crash>,
     },
 }
@@ -122,26 +122,26 @@
 /// How a try ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TryOutcome {
-    /// The target answered.
+    /// The target responded.
     Succeeded,
     /// The target crashed.
     Crashed(Crash),
-    /// It was given up for another reason.
+    /// The try ended for another reason.
     Other,
 }
 
-/// A try that runs.
+/// A running try.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Running {
-    /// The try.
+    /// Identifier of the try.
     id: TryId,
-    /// Target, once it is chosen.
+    /// Target, once chosen.
     target: Option<TargetId>,
-    /// When the permit was given.
-    since: Monotonic,
+    /// When the try was permitted or recorded.
+    started_at: Monotonic,
 }
 
-/// The fingerprints that one host owns: it gives the permits for them, whichever host sends the request.
+/// Grants permits for the fingerprints that one host owns, whichever host sends the request.
 ///
 /// ```
 /// use policy::{Crash, Permit, Quarantine, TryOutcome, TryId};
@@ -162,34 +162,37 @@
 /// ```
 #[derive(Debug, Clone)]
 pub struct Quarantine {
-    /// Fingerprints that were aboard a target that crashed.
+    /// Crash histories of fingerprints.
     suspicions: BTreeMap<Fingerprint, Suspicion>,
-    /// The one try of each fingerprint that runs.
+    /// The running try of each fingerprint, at most one.
     running: BTreeMap<Fingerprint, Running>,
-    /// Tries whose host is gone; their targets may still run them.
+    /// Tries that block no equal requests and matter only if their target crashes: those of removed hosts,
+    /// which may still run, and those mirrored from another owner.
     orphans: Vec<(Fingerprint, Running)>,
-    /// Fingerprints of which a try ended well; equal requests need not wait for each other.
-    proven: BTreeSet<Fingerprint>,
-    /// The same, oldest first.
-    proven_order: VecDeque<Fingerprint>,
-    /// Time after which a try that was not reported counts as ended with its host.
+    /// Fingerprints with a successful try; equal requests run without waiting for each other.
+    known_good: BTreeSet<Fingerprint>,
+    /// The fingerprints of `known_good`, oldest first.
+    known_good_order: VecDeque<Fingerprint>,
+    /// Time after which a try without a reported outcome no longer blocks equal requests.
     longest_try: Duration,
 }
 
 impl Quarantine {
-    /// An empty register. A try that is not reported within `longest_try` no longer keeps others waiting.
+    /// Creates an empty register. A try without a reported outcome stops blocking equal requests after
+    /// `longest_try`.
     pub fn new(longest_try: Duration) -> Self {
         Self {
             suspicions: BTreeMap::new(),
             running: BTreeMap::new(),
             orphans: Vec::new(),
-            proven: BTreeSet::new(),
-            proven_order: VecDeque::new(),
+            known_good: BTreeSet::new(),
+            known_good_order: VecDeque::new(),
             longest_try,
         }
     }
 
-    /// Asks whether a host may run a request. The first of equal requests runs; the others wait until it has ended.
+    /// Decides whether a host may run a request. Of equal requests the first runs; the others wait until it
+    /// has ended.
     pub fn permit(&mut self, request: Fingerprint, id: &TryId, now: Monotonic) -> Permit {
         let suspicion = self.suspicions.get(&request);
         if let Some(found) = suspicion.filter(|s| s.is_quarantined()) {
@@ -197,17 +200,17 @@
             return Permit::Quarantined { crashes };
         }
         let is_suspect = suspicion.is_some_and(Suspicion::is_suspect);
-        if !is_suspect && self.proven.contains(&request) {
+        if !is_suspect && self.known_good.contains(&request) {
             return Permit::Run;
         }
         let running = self.running.get(&request);
-        if running.is_some_and(|r| now.saturating_sub(r.since) < self.longest_try) {
+        if running.is_some_and(|r| now.saturating_sub(r.started_at) < self.longest_try) {
             return Permit::Wait;
         }
         let run = Running {
             id: id.clone(),
             target: None,
-            since: now,
+            started_at: now,
         };
         self.running.insert(request, run);
         if !is_suspect {
@@ -223,24 +226,26 @@
         }
     }
 
-    /// Notes the target that a permitted try goes to.
+    /// Records the target of a permitted try.
     pub fn set_target(&mut self, request: Fingerprint, target: &TargetId) {
         if let Some(running) = self.running.get_mut(&request) {
             running.target = Some(target.clone());
         }
     }
 
-    /// Notes a try that another host's register has permitted, as its backup: only a crash of the target matters here.
+    /// Records, as the backup owner, a try that another host's register has permitted. It matters only if its
+    /// target crashes.
     pub fn mirror(&mut self, request: Fingerprint, id: &TryId, target: &TargetId, now: Monotonic) {
         let run = Running {
             id: id.clone(),
             target: Some(target.clone()),
-            since: now,
+            started_at: now,
         };
         self.orphans.push((request, run));
     }
 
-    /// Takes over, as the new owner of what `owns` names, the tries that a backup has mirrored for the old one.
+    /// Takes over the tries that a backup has mirrored, for the fingerprints that `owns` selects, as their
+    /// new owner.
     pub fn adopt(&mut self, backup: &Self, owns: impl Fn(&Fingerprint) -> bool) {
         for (request, run) in backup.orphans.iter().filter(|(request, _)| owns(request)) {
             if self.running.contains_key(request) {
@@ -251,67 +256,74 @@
         }
     }
 
-    /// Notes how a try ended. Returns what peers and the table service must know before the request runs again.
-    pub fn record_end(&mut self, request: Fingerprint, id: &TryId, end: &TryOutcome) -> Option<Suspicion> {
+    /// Records how a try ended. Returns the changed history, which must reach the peers and the table service
+    /// before the request runs again.
+    pub fn record_end(
+        &mut self,
+        request: Fingerprint,
+        id: &TryId,
+        outcome: &TryOutcome,
+    ) -> Option<Suspicion> {
         if self.running.get(&request).is_some_and(|r| r.id == *id) {
             self.running.remove(&request);
         }
         self.orphans
             .retain(|(other, run)| *other != request || run.id != *id);
-        if *end == TryOutcome::Succeeded {
-            self.remember(request);
+        if *outcome == TryOutcome::Succeeded {
+            self.mark_known_good(request);
         }
-        if let TryOutcome::Crashed(crash) = end {
-            self.suspect(request, crash);
+        if let TryOutcome::Crashed(crash) = outcome {
+            self.add_crash(request, crash);
         }
         let suspicion = self.suspicions.get_mut(&request)?;
         if suspicion.trials.contains(id) {
             suspicion.ended.insert(id.clone());
         }
-        if *end == TryOutcome::Succeeded {
+        if *outcome == TryOutcome::Succeeded {
             suspicion.excuse();
         }
         Some(suspicion.clone())
     }
 
-    /// Notes that a target crashed: whatever runs on it is suspect, also if the host that sent it is gone. Returns what
-    /// peers and the table service must know.
+    /// Records a crash of a target. All requests that run on it become suspects, also if their host was
+    /// removed. Returns the changed histories for the peers and the table service.
     pub fn record_crash(&mut self, crash: &Crash) -> Vec<(Fingerprint, Suspicion)> {
         let running = self
             .running
             .iter()
             .chain(self.orphans.iter().map(|(request, run)| (request, run)));
-        let aboard = running.filter(|(_, run)| run.target.as_ref() == Some(&crash.target));
-        let aboard: BTreeSet<Fingerprint> = aboard.map(|(request, _)| *request).collect();
+        let affected = running.filter(|(_, run)| run.target.as_ref() == Some(&crash.target));
+        let affected: BTreeSet<Fingerprint> = affected.map(|(request, _)| *request).collect();
         self.orphans
             .retain(|(_, run)| run.target.as_ref() != Some(&crash.target));
-        let news = aboard
+        let changed = affected
             .into_iter()
-            .map(|request| (request, self.suspect(request, crash)));
-        news.collect()
+            .map(|request| (request, self.add_crash(request, crash)));
+        changed.collect()
     }
 
-    /// Notes that a host is gone. Its tries no longer keep equal ones waiting, unless they are suspects.
-    pub fn lose_host(&mut self, host: &HostId, now: Monotonic) {
+    /// Records that a host was removed. Its tries no longer block equal requests, except those of suspects.
+    pub fn remove_host(&mut self, host: &HostId, now: Monotonic) {
         let longest_try = self.longest_try;
         self.orphans
-            .retain(|(_, run)| now.saturating_sub(run.since) < longest_try);
+            .retain(|(_, run)| now.saturating_sub(run.started_at) < longest_try);
         let suspicions = &self.suspicions;
         let is_suspect = |request: &Fingerprint| suspicions.get(request).is_some_and(Suspicion::is_suspect);
-        let lost = self
+        let orphaned = self
             .running
             .extract_if(.., |request, run| run.id.host == *host && !is_suspect(request));
-        self.orphans.extend(lost);
+        self.orphans.extend(orphaned);
     }
 
-    fn suspect(&mut self, request: Fingerprint, crash: &Crash) -> Suspicion {
-        self.proven.remove(&request);
+    fn add_crash(&mut self, request: Fingerprint, crash: &Crash) -> Suspicion {
+        self.known_good.remove(&request);
         let suspicion = self.suspicions.entry(request).or_default();
         suspicion.crashes.insert(crash.clone());
         suspicion.clone()
     }
 
-    /// Takes what a peer or the table service knows about a fingerprint. A trial that runs keeps equal ones waiting.
+    /// Merges the history of a fingerprint from a peer or the table service. A trial that is still running
+    /// blocks equal requests.
     pub fn merge(&mut self, request: Fingerprint, other: &Suspicion, now: Monotonic) {
         let suspicion = self.suspicions.entry(request).or_default();
         suspicion.merge(other);
@@ -323,13 +335,14 @@
             let run = Running {
                 id: trial.clone(),
                 target: None,
-                since: now,
+                started_at: now,
             };
             self.running.entry(request).or_insert(run);
         }
     }
 
-    /// Drops what is known about a fingerprint, since its row in the table is gone. Its trials keep nobody waiting.
+    /// Drops the history of a fingerprint whose row in the table service was deleted. Its trials no longer
+    /// block equal requests.
     pub fn forget(&mut self, request: &Fingerprint) {
         let Some(suspicion) = self.suspicions.remove(request) else {
             return;
@@ -340,8 +353,8 @@
         }
     }
 
-    /// The target that runs a request that is not suspect; equal requests may share it instead of waiting, since its
-    /// crash is one crash, however many of them are aboard.
+    /// Returns the target that runs a request, unless the request is suspect. Equal requests may share the
+    /// target instead of waiting: its crash counts once, however many of them run on it.
     pub fn shared_target(&self, request: &Fingerprint) -> Option<&TargetId> {
         if self.suspicion(request).is_some_and(Suspicion::is_suspect) {
             return None;
@@ -349,33 +362,34 @@
         self.running.get(request)?.target.as_ref()
     }
 
-    /// Everything that is known about fingerprints that count crashes.
+    /// Iterates over the fingerprints with crashes that count.
     pub fn suspects(&self) -> impl Iterator<Item = (&Fingerprint, &Suspicion)> {
         self.suspicions.iter().filter(|(_, s)| s.is_suspect())
     }
 
-    /// What is known about a fingerprint.
+    /// Returns the crash history of a fingerprint.
     pub fn suspicion(&self, request: &Fingerprint) -> Option<&Suspicion> {
         self.suspicions.get(request)
     }
 
-    /// Fingerprints that may not run.
+    /// Iterates over the fingerprints that are quarantined.
     pub fn quarantined(&self) -> impl Iterator<Item = &Fingerprint> {
-        let bad = self.suspicions.iter().filter(|(_, s)| s.is_quarantined());
-        bad.map(|(request, _)| request)
+        let quarantined = self.suspicions.iter().filter(|(_, s)| s.is_quarantined());
+        quarantined.map(|(request, _)| request)
     }
 
-    fn remember(&mut self, request: Fingerprint) {
-        if self.proven.insert(request) {
-            self.proven_order.push_back(request);
+    fn mark_known_good(&mut self, request: Fingerprint) {
+        if self.known_good.insert(request) {
+            self.known_good_order.push_back(request);
         }
-        while self.proven_order.len() > PROVEN {
-            let oldest = self.proven_order.pop_front();
-            oldest.map(|request| self.proven.remove(&request));
+        while self.known_good_order.len() > MAX_KNOWN_GOOD {
+            let oldest = self.known_good_order.pop_front();
+            oldest.map(|request| self.known_good.remove(&request));
         }
     }
 
-    /// Targets that run a suspect of this register, for the peers: their suspects leave these targets out too.
+    /// Returns the targets that run a suspect of this register, except for the given fingerprint. Peers
+    /// exclude these targets for their own suspects.
     pub fn targets_of_suspects(&self, except: Fingerprint) -> Vec<TargetId> {
         let suspects = self.running.iter().filter(|(request, _)| {
             let suspicion = self.suspicions.get(request);
--- a/components/policy/src/retention.rs
+++ b/components/policy/src/retention.rs
@@ -3,32 +3,32 @@
 
 use utils::{Digest, Monotonic, WorkspaceId};
 
-/// Gaps are counted in buckets that double, from one second on.
-const BUCKETS: usize = 18;
+/// Number of buckets of reuse gaps. Bucket `i` starts at 2^i seconds; the first also holds shorter gaps.
+const GAP_BUCKETS: usize = 18;
 
-/// Depths of pieces that are counted apart, each twice as deep as the one before.
-const DEPTHS: usize = 6;
+/// Number of depth classes that are counted separately; each covers twice as many depths as the one before.
+const DEPTH_CLASSES: usize = 6;
 
-/// Time after which a piece that was not asked for counts as never returned.
-const HORIZON: Duration = Duration::from_secs(24 * 3_600);
+/// Time after which a piece without another use counts as never reused.
+const REUSE_HORIZON: Duration = Duration::from_secs(24 * 3_600);
 
-/// Pieces whose last use is remembered.
-const REMEMBERED: usize = 200_000;
+/// Maximum number of recorded uses.
+const MAX_TRACKED_USES: usize = 200_000;
 
-/// Weight of what is assumed before anything was counted.
-const PRIOR: f64 = 4.0;
+/// Weight of [`PRIOR_REUSE_PROBABILITY`], as a number of observed uses.
+const PRIOR_WEIGHT: f64 = 4.0;
 
-/// Chance of a return that is assumed before anything was counted.
-const PRIOR_CHANCE: f64 = 0.3;
+/// Probability of reuse that is assumed without observations.
+const PRIOR_REUSE_PROBABILITY: f64 = 0.3;
 
-/// Learns how likely pieces return, by workspace and depth, from the gaps between their uses.
+/// Estimates how likely pieces are reused, by workspace and depth, from the gaps between their uses.
 #[derive(Debug, Default)]
 pub struct Retention {
-    /// Gaps by workspace and depth.
-    gaps: HashMap<WorkspaceId, [Gaps; DEPTHS]>,
-    /// Last use of each piece.
-    last: HashMap<Digest, Monotonic>,
-    /// Uses in order of time, to forget old ones.
+    /// Observed gaps by workspace and depth class.
+    gaps: HashMap<WorkspaceId, [Gaps; DEPTH_CLASSES]>,
+    /// Time of the last use of each piece.
+    last_uses: HashMap<Digest, Monotonic>,
+    /// Recorded uses, oldest first.
     uses: VecDeque<Use>,
 }
 
@@ -41,51 +41,51 @@
     at: Monotonic,
 }
 
-/// Counted gaps.
+/// Counts of observed gaps between uses.
 #[derive(Debug, Clone, Copy, Default)]
 struct Gaps {
-    /// Returns by length of the gap.
-    returned: [f64; BUCKETS],
-    /// Uses without a return.
-    never: f64,
+    /// Number of reuses by bucket of the gap.
+    reused: [f64; GAP_BUCKETS],
+    /// Number of uses without a later use.
+    never_reused: f64,
 }
 
-/// A piece on a store.
+/// A piece in a store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoredPiece {
     /// Name of the piece.
     pub piece: Digest,
-    /// Workspace that it belongs to.
+    /// Workspace that owns the piece.
     pub workspace: WorkspaceId,
-    /// Position in its prompt, from 0.
+    /// Index of the piece in its prompt, from 0.
     pub depth: u16,
-    /// Size.
+    /// Size in bytes.
     pub bytes: u64,
-    /// Time to compute it again, in seconds.
+    /// Time to recompute it, in seconds.
     pub recompute_seconds: f64,
-    /// Last use.
+    /// Time of the last use.
     pub used_at: Monotonic,
 }
 
-/// What a copy of a piece on a store costs and saves.
+/// The costs and savings of writing a piece to a store.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WriteBack {
-    /// Time to compute the piece again, in seconds.
+    /// Time to recompute the piece, in seconds.
     pub recompute_seconds: f64,
     /// Time to read it from the store, in seconds.
     pub fetch_seconds: f64,
-    /// Seconds given for computing it again, besides the time itself.
+    /// Cost of recomputing it besides the time itself, in seconds.
     pub recompute_cost: f64,
-    /// Seconds given for writing it: link use or a place on the store.
+    /// Cost of writing it in seconds: use of the link or space in the store.
     pub write_cost: f64,
 }
 
 impl Retention {
-    /// Takes that a piece was used.
+    /// Records a use of a piece.
     pub fn record_use(&mut self, workspace: &WorkspaceId, piece: Digest, depth: u16, now: Monotonic) {
-        if let Some(before) = self.last.insert(piece, now) {
+        if let Some(before) = self.last_uses.insert(piece, now) {
             let gap = now.saturating_sub(before);
-            self.gaps_mut(workspace, depth).returned[bucket(gap)] += 1.0;
+            self.gaps_mut(workspace, depth).reused[gap_bucket(gap)] += 1.0;
         }
         self.uses.push_back(Use {
             piece,
@@ -93,73 +93,80 @@
             depth,
             at: now,
         });
-        self.forget(now);
+        self.expire(now);
     }
 
-    /// Chance that a piece last used `age` ago is asked for within `within` from now.
-    pub fn chance(&self, workspace: &WorkspaceId, depth: u16, age: Duration, within: Duration) -> f64 {
+    /// Estimates the probability that a piece last used `age` ago is used again within `within` from now.
+    pub fn reuse_probability(
+        &self,
+        workspace: &WorkspaceId,
+        depth: u16,
+        age: Duration,
+        within: Duration,
+    ) -> f64 {
         let Some(gaps) = self.gaps.get(workspace).map(|g| &g[depth_class(depth)]) else {
-            return PRIOR_CHANCE;
+            return PRIOR_REUSE_PROBABILITY;
         };
-        let (from, to) = (bucket(age), bucket(age + within));
-        let later: f64 = gaps.returned[from..].iter().sum();
-        let soon: f64 = gaps.returned[from..=to].iter().sum();
-        (soon + PRIOR * PRIOR_CHANCE) / (later + gaps.never + PRIOR)
+        let (from, to) = (gap_bucket(age), gap_bucket(age + within));
+        let later: f64 = gaps.reused[from..].iter().sum();
+        let soon: f64 = gaps.reused[from..=to].iter().sum();
+        (soon + PRIOR_WEIGHT * PRIOR_REUSE_PROBABILITY) / (later + gaps.never_reused + PRIOR_WEIGHT)
     }
 
-    /// Seconds of computing that a kept piece is expected to save for each byte.
-    pub fn value(&self, kept: &StoredPiece, now: Monotonic) -> f64 {
-        let age = now.saturating_sub(kept.used_at);
-        let chance = self.chance(&kept.workspace, kept.depth, age, HORIZON);
-        chance * kept.recompute_seconds / kept.bytes.max(1) as f64
+    /// Returns the compute time that a stored piece is expected to save per byte, in seconds.
+    pub fn value(&self, piece: &StoredPiece, now: Monotonic) -> f64 {
+        let age = now.saturating_sub(piece.used_at);
+        let probability = self.reuse_probability(&piece.workspace, piece.depth, age, REUSE_HORIZON);
+        probability * piece.recompute_seconds / piece.bytes.max(1) as f64
     }
 
-    /// Whether a copy is worth writing.
+    /// Whether the expected saving of a copy exceeds the cost of writing it.
     pub fn is_worth_writing(&self, workspace: &WorkspaceId, depth: u16, copy: &WriteBack) -> bool {
-        let chance = self.chance(workspace, depth, Duration::ZERO, HORIZON);
+        let probability = self.reuse_probability(workspace, depth, Duration::ZERO, REUSE_HORIZON);
         let saved = (copy.recompute_seconds - copy.fetch_seconds).max(0.0) + copy.recompute_cost;
-        chance * saved > copy.write_cost
+        probability * saved > copy.write_cost
     }
 
-    /// The pieces of least value that free `bytes`, deeper pieces of equal value first.
-    pub fn victims(&self, kept: &[StoredPiece], bytes: u64, now: Monotonic) -> Vec<Digest> {
-        let mut order: Vec<_> = kept.iter().map(|k| (self.value(k, now), k)).collect();
-        order.sort_by(|(a, ka), (b, kb)| a.total_cmp(b).then(kb.depth.cmp(&ka.depth)));
+    /// Chooses the least valuable pieces to evict until at least `bytes` are freed. Of equally valuable
+    /// pieces the deeper one goes first.
+    pub fn victims(&self, stored: &[StoredPiece], bytes: u64, now: Monotonic) -> Vec<Digest> {
+        let mut order: Vec<_> = stored.iter().map(|p| (self.value(p, now), p)).collect();
+        order.sort_by(|(a, pa), (b, pb)| a.total_cmp(b).then(pb.depth.cmp(&pa.depth)));
         let mut freed = 0;
-        let chosen = order.into_iter().take_while(|(_, k)| {
+        let chosen = order.into_iter().take_while(|(_, p)| {
             let is_needed = freed < bytes;
-            freed += k.bytes;
+            freed += p.bytes;
             is_needed
         });
-        chosen.map(|(_, k)| k.piece).collect()
+        chosen.map(|(_, p)| p.piece).collect()
     }
 
     fn gaps_mut(&mut self, workspace: &WorkspaceId, depth: u16) -> &mut Gaps {
         &mut self.gaps.entry(workspace.clone()).or_default()[depth_class(depth)]
     }
 
-    /// Forgets uses that are too old or too many, and counts those without a return.
-    fn forget(&mut self, now: Monotonic) {
+    /// Removes uses that are too old or too many and counts those without a later use.
+    fn expire(&mut self, now: Monotonic) {
         while let Some(first) = self.uses.front() {
-            if self.uses.len() <= REMEMBERED && now.saturating_sub(first.at) < HORIZON {
+            if self.uses.len() <= MAX_TRACKED_USES && now.saturating_sub(first.at) < REUSE_HORIZON {
                 return;
             }
             let Some(oldest) = self.uses.pop_front() else {
                 return;
             };
-            if self.last.get(&oldest.piece) == Some(&oldest.at) {
-                self.last.remove(&oldest.piece);
-                self.gaps_mut(&oldest.workspace, oldest.depth).never += 1.0;
+            if self.last_uses.get(&oldest.piece) == Some(&oldest.at) {
+                self.last_uses.remove(&oldest.piece);
+                self.gaps_mut(&oldest.workspace, oldest.depth).never_reused += 1.0;
             }
         }
     }
 }
 
-fn bucket(gap: Duration) -> usize {
+fn gap_bucket(gap: Duration) -> usize {
     let seconds = gap.as_secs().max(1);
-    (seconds.ilog2() as usize).min(BUCKETS - 1)
+    (seconds.ilog2() as usize).min(GAP_BUCKETS - 1)
 }
 
 fn depth_class(depth: u16) -> usize {
-    ((depth + 1).ilog2() as usize).min(DEPTHS - 1)
+    ((depth + 1).ilog2() as usize).min(DEPTH_CLASSES - 1)
 }
--- a/components/policy/src/retry.rs
+++ b/components/policy/src/retry.rs
@@ -5,17 +5,18 @@
 
 use crate::Backoff;
 
-/// Retries that are left without any success before.
-const RESERVE: f64 = 10.0;
-/// Shortest time after which an empty budget is looked at again.
+/// Number of retries in a new budget.
+const INITIAL_RETRIES: f64 = 10.0;
+/// Minimum wait before an empty budget is checked again.
 const SHORTEST_HOLD: Duration = Duration::from_millis(10);
-/// Longest time for which a failed request waits for the budget.
+/// Maximum time for which a failed request waits for the budget.
 const LONGEST_HOLD: Duration = Duration::from_secs(2);
-/// Most retries that successes can save up.
-const LARGEST_BUDGET: f64 = 10.0;
+/// Maximum number of retries that successes can accumulate.
+const MAX_SAVED_RETRIES: f64 = 10.0;
 
-/// Retries that a host may make: a share of its recent successes, so that retries can't amplify an outage. A retry that goes
-/// well gives back what it took, so that requests aboard one crashed target are all tried again, a few at a time.
+/// The retries that a host may make. They are limited to a ratio of its recent successes, which keeps retries
+/// from amplifying an outage. A successful retry refunds the one it took; all requests that ran on a crashed
+/// target can thus be retried, a few at a time.
 ///
 /// ```
 /// use policy::RetryBudget;
@@ -30,40 +31,43 @@
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudget {
-    /// Retries that are left.
+    /// Available retries.
     left: f64,
-    /// Retries that one success adds.
-    share: f64,
+    /// Retries added per success.
+    ratio: f64,
 }
 
 impl RetryBudget {
-    /// A budget to which each success adds `share` of a retry.
-    pub fn new(share: f64) -> Self {
-        Self { left: RESERVE, share }
+    /// Creates a budget to which each success adds `ratio` retries.
+    pub fn new(ratio: f64) -> Self {
+        Self {
+            left: INITIAL_RETRIES,
+            ratio,
+        }
     }
 
-    /// A budget with `left` retries.
-    pub fn with_left(left: f64, share: f64) -> Self {
-        Self { left, share }
+    /// Creates a budget with `left` available retries.
+    pub fn with_left(left: f64, ratio: f64) -> Self {
+        Self { left, ratio }
     }
 
-    /// Counts a success; `is_retry` says whether a retry was taken for it.
+    /// Records a success. `is_retry` is whether a retry was taken for it, which is then refunded.
     pub fn record_success(&mut self, is_retry: bool) {
-        let returned = if is_retry { 1.0 } else { 0.0 };
-        self.left = (self.left + self.share + returned).min(LARGEST_BUDGET);
+        let refund = if is_retry { 1.0 } else { 0.0 };
+        self.left = (self.left + self.ratio + refund).min(MAX_SAVED_RETRIES);
     }
 
-    /// Takes a retry out of the budget; false if there is none.
+    /// Takes a retry from the budget. Returns whether one was available.
     pub fn take(&mut self) -> bool {
-        // Sums of shares end a little below a whole retry.
-        let has_one = self.left > 1.0 - 1e-9;
-        if has_one {
+        // The tolerance compensates for rounding: a sum of ratios can end slightly below a whole retry.
+        let is_available = self.left > 1.0 - 1e-9;
+        if is_available {
             self.left -= 1.0;
         }
-        has_one
+        is_available
     }
 
-    /// Retries that are left.
+    /// Returns the available retries.
     pub fn left(&self) -> f64 {
         self.left
     }
@@ -75,34 +79,34 @@
     }
 }
 
-/// A request of which a try failed.
+/// A request whose last try failed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FailedTry {
     /// Number of the try that failed, from 1.
     pub attempt: Attempt,
-    /// Most tries.
+    /// Maximum number of tries.
     pub max_attempts: Attempt,
-    /// Whether the request may be sent again although it may have run.
+    /// Whether the request may be sent again even if it may have run.
     pub is_idempotent: bool,
-    /// Whether it is certain that no try ran.
+    /// Whether it is certain that no try has run.
     pub is_not_run: bool,
     /// When the try failed.
     pub failed_at: Monotonic,
-    /// When the caller needs the first token.
+    /// Deadline of the first token.
     pub due: Monotonic,
-    /// Shortest time that a target needs until the first token.
+    /// Minimum time that a target needs until the first token.
     pub expected: Duration,
 }
 
-/// What to do after a failed try, and why.
+/// The decision after a failed try, with the values behind it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[derive(Serialize)]
 pub struct NextTry {
-    /// What to do.
+    /// What to do next.
     pub decision: RetryDecision,
-    /// Time left until the first token is due.
+    /// Time until the deadline of the first token.
     pub time_left: Duration,
-    /// Retries left in the budget after the decision.
+    /// Retries available after the decision.
     pub budget_left: f64,
 }
 
@@ -111,36 +115,36 @@
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RetryDecision {
-    /// Send it again after a wait.
+    /// Retry after a wait.
     Retry {
-        /// The wait.
+        /// Duration of the wait.
         after: Duration,
     },
-    /// The budget is empty: decide again after a wait.
+    /// The budget is empty; decide again after a wait.
     Hold {
-        /// The wait.
+        /// Duration of the wait.
         after: Duration,
     },
-    /// Tell the caller what is known.
+    /// Give up and report the outcome to the caller.
     Stop(StopReason),
 }
 
-/// Why a request is not tried again.
+/// Why a request is not retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StopReason {
-    /// It may have run and may run only once.
+    /// It may have run and is not idempotent.
     MayHaveRun,
-    /// It was tried often enough.
+    /// The maximum number of tries is reached.
     Attempts,
     /// No target could meet the deadline.
     Deadline,
-    /// Too many retries for the recent successes.
+    /// The retry budget is exhausted.
     Budget,
 }
 
-/// Decides whether a request is tried again. `jitter` from 0 to 1 is drawn by the caller.
+/// Decides whether to retry a request. The caller draws `jitter` from 0 to 1.
 ///
 /// ```
 /// use std::time::Duration;
--- a/components/policy/src/transfers.rs
+++ b/components/policy/src/transfers.rs
@@ -4,16 +4,16 @@
 
 use utils::Digest;
 
-/// Whether a transfer has to be started.
+/// Whether the caller has to start a transfer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TransferStart {
-    /// The caller starts it and reports its end.
+    /// The caller starts the transfer and reports its end.
     Start,
-    /// The same transfer is under way; the caller waits for its end.
+    /// The same transfer is in flight; the caller waits for its end.
     Join,
 }
 
-/// Transfers under way, so that identical ones are made once.
+/// Transfers in flight. Deduplicates identical transfers.
 ///
 /// ```
 /// use policy::{TransferStart, Transfers};
@@ -33,7 +33,7 @@
 }
 
 impl<K: Eq + Hash> Transfers<K> {
-    /// Asks for a piece at a destination.
+    /// Requests the transfer of a piece to a destination.
     pub fn begin(&mut self, piece: Digest, destination: K) -> TransferStart {
         match self.0.entry((piece, destination)) {
             Entry::Occupied(mut joined) => {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Takes that a transfer ended and returns how many callers had joined it.
+    /// Records the end of a transfer. Returns the number of callers that had joined it.
     pub fn end(&mut self, piece: Digest, destination: K) -> usize {
         self.0.remove(&(piece, destination)).unwrap_or(0)
     }
--- a/components/policy/tests/admission.rs
+++ b/components/policy/tests/admission.rs
@@ -1,43 +1,46 @@
-//! One workspace at ten times its share against the others, in virtual time.
+//! Guards the latency of other workspaces while one workspace sends ten times its share. Runs in virtual
+//! time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use policy::{FairQueue, Shed, TokenBucket, Waiting};
+use policy::{FairQueue, QueuedRequest, ShedReason, TokenBucket};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use utils::Monotonic;
 
 const WORKSPACES: usize = 10;
-/// Drafts that the model's targets run at once.
+/// Number of drafts that the model's targets run concurrently.
 const SLOTS: usize = 20;
-/// Prompt tokens that one slot processes a second.
+/// Prompt tokens that a slot processes per second.
 const SPEED: f64 = 5_000.0;
 /// Longest prompt, in tokens.
-const LONGEST_PROMPT: f64 = 8_000.0;
-/// Part of the targets' speed that all workspaces use together at their usual demand.
+const MAX_PROMPT: f64 = 8_000.0;
+/// Share of the targets' capacity that all workspaces use together at their usual demand.
 const USUAL_LOAD: f64 = 0.8;
-/// Part of the targets' speed that each workspace is limited to.
+/// Share of the targets' capacity to which each workspace is limited.
 const LIMIT: f64 = 0.1;
-/// Longest time to the first token.
+/// Deadline of the first token, from the arrival of the request.
 const DEADLINE: Duration = Duration::from_secs(10);
-/// Stated target: change of the others' p95.
-const LARGEST_CHANGE: f64 = 0.1;
+/// Limit for the relative change of the other workspaces' p95.
+const MAX_CHANGE: f64 = 0.1;
 
-/// 95th percentile of the time to first token of all workspaces but the first, in seconds, and the share of their
-/// requests that was refused. The first workspace sends `factor` times its share; each is limited to a part of the
-/// targets' speed.
-fn others(seed: u64, factor: f64, limit: f64) -> (f64, f64) {
+/// Returns the 95th percentile of the time to first token of all workspaces but the first, in seconds, and
+/// the share of their requests that was refused. The first workspace sends `factor` times its share; each
+/// workspace is limited to the share `limit` of the targets' capacity.
+fn other_workspaces(seed: u64, factor: f64, limit: f64) -> (f64, f64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let capacity = SLOTS as f64 * SPEED;
-    let mean_cost = (500.0 + LONGEST_PROMPT) / 2.0;
+    let mean_cost = (500.0 + MAX_PROMPT) / 2.0;
     let rate = capacity * USUAL_LOAD / WORKSPACES as f64 / mean_cost;
     let limit = capacity * limit;
     let mut buckets: Vec<_> = (0..WORKSPACES)
         .map(|_| TokenBucket::new(limit, 4.0 * limit, Monotonic::ZERO))
         .collect();
-    let mut next: Vec<f64> = (0..WORKSPACES).map(|i| gap(&mut rng, rate, i, factor)).collect();
+    let mut next: Vec<f64> = (0..WORKSPACES)
+        .map(|i| interarrival(&mut rng, rate, i, factor))
+        .collect();
     let mut queue = FairQueue::new(2_000);
     let mut free_at: BinaryHeap<Reverse<Monotonic>> = (0..SLOTS).map(|_| Reverse(Monotonic::ZERO)).collect();
     let mut since = Monotonic::ZERO;
@@ -49,24 +52,24 @@
         let now = Duration::from_secs_f64(next[i]);
         serve(&mut queue, &mut free_at, since, now, &mut times);
         since = now;
-        next[i] += gap(&mut rng, rate, i, factor);
+        next[i] += interarrival(&mut rng, rate, i, factor);
         let req = request(&mut rng, i, now);
         offered += usize::from(i > 0);
-        let is_in = buckets[i].take(req.cost, now).is_ok() && queue.push(req, now).is_ok();
-        refused += usize::from(i > 0 && !is_in);
+        let is_admitted = buckets[i].take(req.cost, now).is_ok() && queue.push(req, now).is_ok();
+        refused += usize::from(i > 0 && !is_admitted);
     }
     times.sort_by(f64::total_cmp);
     (times[times.len() * 95 / 100], refused as f64 / offered as f64)
 }
 
-fn gap(rng: &mut ChaCha8Rng, rate: f64, workspace: usize, factor: f64) -> f64 {
+fn interarrival(rng: &mut ChaCha8Rng, rate: f64, workspace: usize, factor: f64) -> f64 {
     let rate = if workspace == 0 { rate * factor } else { rate };
     -(1.0 - rng.random::<f64>()).ln() / rate
 }
 
-fn request(rng: &mut ChaCha8Rng, workspace: usize, now: Monotonic) -> Waiting {
-    let cost = rng.random_range(500.0..LONGEST_PROMPT);
-    Waiting {
+fn request(rng: &mut ChaCha8Rng, workspace: usize, now: Monotonic) -> QueuedRequest {
+    let cost = rng.random_range(500.0..MAX_PROMPT);
+    QueuedRequest {
         workspace: workspace.to_string().into(),
         weight: 1.0,
         priority: 0,
@@ -76,7 +79,7 @@
     }
 }
 
-/// Lets slots that are free before `now` take requests; all that wait came until `since`.
+/// Lets slots that become free before `now` take requests; all queued requests arrived by `since`.
 fn serve(
     queue: &mut FairQueue,
     free_at: &mut BinaryHeap<Reverse<Monotonic>>,
@@ -96,8 +99,8 @@
         free_at.pop();
         free_at.push(Reverse(end));
         if &*req.workspace != "0" {
-            let came = req.due - DEADLINE;
-            times.push(end.saturating_sub(came).as_secs_f64());
+            let arrived = req.due - DEADLINE;
+            times.push(end.saturating_sub(arrived).as_secs_f64());
         }
     }
 }
@@ -105,28 +108,28 @@
 #[test]
 fn a_busy_workspace_does_not_slow_the_others() {
     for seed in 0..5 {
-        let (usual, usual_refused) = others(seed, 1.0, LIMIT);
-        let (busy, busy_refused) = others(seed, 10.0, LIMIT);
+        let (usual, usual_refused) = other_workspaces(seed, 1.0, LIMIT);
+        let (busy, busy_refused) = other_workspaces(seed, 10.0, LIMIT);
         let change = busy / usual - 1.0;
         println!(
             "seed {seed}: p95 {usual:.3} s, with a busy workspace {busy:.3} s; refused {usual_refused:.4}, {busy_refused:.4}"
         );
-        assert!(change <= LARGEST_CHANGE, "seed {seed}: {usual} s, {busy} s");
+        assert!(change <= MAX_CHANGE, "seed {seed}: {usual} s, {busy} s");
     }
 }
 
 #[test]
 fn without_a_limit_fair_queueing_still_serves_the_others_in_time() {
     for seed in 0..5 {
-        let (usual, _) = others(seed, 1.0, f64::INFINITY);
-        let (busy, refused) = others(seed, 10.0, f64::INFINITY);
+        let (usual, _) = other_workspaces(seed, 1.0, f64::INFINITY);
+        let (busy, refused) = other_workspaces(seed, 10.0, f64::INFINITY);
         println!("seed {seed}: p95 {usual:.3} s, with a busy workspace {busy:.3} s; refused {refused:.4}");
         assert!(refused < 0.01, "seed {seed}: {refused}");
     }
 }
 
-fn waiting(workspace: &str, priority: u8) -> Waiting {
-    Waiting {
+fn waiting(workspace: &str, priority: u8) -> QueuedRequest {
+    QueuedRequest {
         workspace: workspace.into(),
         weight: 1.0,
         priority,
@@ -137,13 +140,13 @@
 }
 
 #[test]
-fn a_deadline_that_can_not_be_met_is_refused_early() {
+fn a_request_that_misses_its_deadline_is_refused_early() {
     let mut queue = FairQueue::new(10);
     let late = Duration::from_millis(9_001);
-    assert_eq!(queue.push(waiting("mill", 0), late), Err(Shed::Deadline));
+    assert_eq!(queue.push(waiting("mill", 0), late), Err(ShedReason::Deadline));
     queue.push(waiting("mill", 0), Duration::ZERO).expect("room");
     let popped = queue.pop(late);
-    assert_eq!((popped.next, popped.late.len()), (None, 1));
+    assert_eq!((popped.next, popped.expired.len()), (None, 1));
 }
 
 #[test]
@@ -156,7 +159,7 @@
     }
     assert_eq!(
         queue.push(waiting("mill", 9), Duration::ZERO),
-        Err(Shed::Overload)
+        Err(ShedReason::Overload)
     );
     let pushed = queue.push(waiting("yard", 4), Duration::ZERO).expect("shed");
     assert_eq!(pushed.shed.map(|(_, req)| req.priority), Some(9));
--- a/components/policy/tests/limits.rs
+++ b/components/policy/tests/limits.rs
@@ -1,4 +1,4 @@
-//! A workspace's limit over nine hosts that only tell each other their demand, in virtual time.
+//! Guards a workspace's rate limit over nine hosts that exchange only their demand. Runs in virtual time.
 
 use std::time::Duration;
 
@@ -8,25 +8,25 @@
 use utils::Monotonic;
 
 const HOSTS: usize = 9;
-/// Requests a second over all hosts.
+/// Requests per second over all hosts.
 const LIMIT: f64 = 100.0;
-/// Time between two heartbeats.
+/// Interval between heartbeats.
 const HEARTBEAT: Duration = Duration::from_millis(500);
-/// Heartbeats after which a silent host no longer counts.
+/// Number of missed heartbeats after which a host no longer counts.
 const MISSED_HEARTBEATS: usize = 4;
 const STEP: Duration = Duration::from_millis(5);
-/// Time that a bucket can save up.
+/// Capacity of a bucket, in seconds at its rate.
 const BURST_SECONDS: f64 = 1.0;
-/// Stated target.
-const LARGEST_ERROR: f64 = 0.1;
+/// Limit for the relative error of the admitted rate.
+const MAX_ERROR: f64 = 0.1;
 
 struct Host {
     meter: DemandMeter,
     bucket: TokenBucket,
-    /// Demand that this host reported last, with the number of heartbeats that were missed since.
+    /// Demand that this host reported last.
     reported: f64,
-    /// What this host heard from each host: demand and age in heartbeats.
-    heard: [(f64, usize); HOSTS],
+    /// Last demand received from each host, and its age in heartbeats.
+    received: [(f64, usize); HOSTS],
     is_alive: bool,
 }
 
@@ -36,7 +36,7 @@
             meter: DemandMeter::new(Monotonic::ZERO),
             bucket: TokenBucket::new(LIMIT / HOSTS as f64, LIMIT / HOSTS as f64, Monotonic::ZERO),
             reported: 0.0,
-            heard: [(0.0, 0); HOSTS],
+            received: [(0.0, 0); HOSTS],
             is_alive: true,
         }
     }
@@ -45,13 +45,14 @@
         let live = |(i, (demand, age)): (usize, &(f64, usize))| {
             (i != own && *age < MISSED_HEARTBEATS).then_some(*demand)
         };
-        let others: Vec<f64> = self.heard.iter().enumerate().filter_map(live).collect();
+        let others: Vec<f64> = self.received.iter().enumerate().filter_map(live).collect();
         let share = rate_share(LIMIT, self.reported, others.into_iter().chain([self.reported]));
         self.bucket.set(share, (share * BURST_SECONDS).max(1.0), now);
     }
 }
 
-/// Requests admitted a second in each ten seconds; one host dies half way, and its callers go to the others.
+/// Returns the requests admitted per second in each period of ten seconds. One host fails half way, and its
+/// callers move to the other hosts.
 fn admitted(seed: u64, offered: f64, seconds: u64) -> Vec<f64> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let weights: Vec<f64> = (0..HOSTS).map(|_| rng.random_range(0.1..2.0)).collect();
@@ -82,19 +83,19 @@
     counts
 }
 
-/// Every host reports; a tenth of the reports is lost.
+/// Sends the report of each host to all hosts and loses a tenth of the deliveries.
 fn heartbeat(hosts: &mut [Host], rng: &mut ChaCha8Rng, now: Monotonic) {
     for sender in 0..HOSTS {
         if !hosts[sender].is_alive {
-            hosts.iter_mut().for_each(|h| h.heard[sender].1 += 1);
+            hosts.iter_mut().for_each(|h| h.received[sender].1 += 1);
             continue;
         }
         let demand = hosts[sender].meter.report(0.8, now);
         hosts[sender].reported = demand;
         for host in hosts.iter_mut() {
             match rng.random::<f64>() < 0.9 {
-                true => host.heard[sender] = (demand, 0),
-                false => host.heard[sender].1 += 1,
+                true => host.received[sender] = (demand, 0),
+                false => host.received[sender].1 += 1,
             }
         }
     }
@@ -104,15 +105,16 @@
 }
 
 #[test]
-fn a_limit_holds_over_nine_hosts_and_after_one_dies() {
+fn a_limit_holds_over_nine_hosts_and_after_one_fails() {
     let mut worst = 0.0f64;
     for seed in 0..20 {
         let counts = admitted(seed, 3.0 * LIMIT, 80);
-        // The first ten seconds and those after the death are for the hosts to learn of each other.
+        // The first period and the one after the failure are excluded: the hosts' demands are still
+        // converging.
         for i in [1, 2, 3, 5, 6, 7] {
             let error = (counts[i] / LIMIT - 1.0).abs();
             worst = worst.max(error);
-            assert!(error <= LARGEST_ERROR, "seed {seed}: {counts:?}");
+            assert!(error <= MAX_ERROR, "seed {seed}: {counts:?}");
         }
     }
     println!("largest error {:.3}", worst);
@@ -125,7 +127,7 @@
         let counts = admitted(seed, offered, 40);
         let mean = counts.iter().sum::<f64>() / counts.len() as f64;
         assert!(
-            (mean / offered - 1.0).abs() <= LARGEST_ERROR,
+            (mean / offered - 1.0).abs() <= MAX_ERROR,
             "seed {seed}: {counts:?}"
         );
     }
--- a/components/policy/tests/links.rs
+++ b/components/policy/tests/links.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn slow_link_is_noticed_and_forgotten_with_hysteresis() {
+fn slow_link_is_detected_and_cleared_with_hysteresis() {
     let mut meter = LinkMeter::new(4e6);
     let mut now = ms(0);
     now = transfer(&mut meter, now, ms(1_000));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn link_without_progress_is_cut_and_tried_now_and_then() {
+fn link_without_progress_is_cut_and_probed_periodically() {
     let mut meter = LinkMeter::new(4e6);
     meter.started(MB, ms(0));
     meter.check(ms(2_900));
@@ -65,7 +65,7 @@
         for (host, wait, bytes) in asks {
             now += ms(wait);
             if host == lost {
-                // The lost host's successor starts with nothing; some peers do not know of it yet.
+                // The replacement of the lost host starts with zero bytes; some peers have not yet seen it.
                 hosts[host] = VolumeBudget::new(rate, burst, 9, now);
             }
             hosts[(host + 1) % 9].set_hosts(8, now.min(Duration::from_secs(59)));
--- a/components/policy/tests/placement.rs
+++ b/components/policy/tests/placement.rs
@@ -84,8 +84,8 @@
         });
     }
 
-    fn resident(&mut self, target: CandidateKey, pieces: u16, is_certain: bool) {
-        (0..pieces).for_each(|piece| self.copies.add_target(target, piece, is_certain));
+    fn resident(&mut self, target: CandidateKey, pieces: u16, is_confirmed: bool) {
+        (0..pieces).for_each(|piece| self.copies.add_target(target, piece, is_confirmed));
     }
 
     fn place(&self, seed: u64) -> Placement {
@@ -137,13 +137,13 @@
 }
 
 #[test]
-fn doubtful_prefix_costs_more_than_a_certain_one() {
+fn unconfirmed_prefix_costs_more_than_a_confirmed_one() {
     let mut case = Case::new(8);
-    let sure = case.target("sure", "north", 0);
-    let doubtful = case.target("doubtful", "north", 0);
-    case.resident(sure, 6, true);
-    case.resident(doubtful, 8, false);
-    assert_eq!(case.chosen(), "sure");
+    let confirmed = case.target("confirmed", "north", 0);
+    let unconfirmed = case.target("unconfirmed", "north", 0);
+    case.resident(confirmed, 6, true);
+    case.resident(unconfirmed, 8, false);
+    assert_eq!(case.chosen(), "confirmed");
     let placed = case.place(1).chosen.unwrap();
     assert_eq!(placed.cost.resident_tokens, 6 * PIECE);
 }
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn each_unfit_target_is_named_with_its_reason() {
+fn each_ineligible_target_is_reported_with_its_reason() {
     let mut case = Case::new(1);
     let leaving = case.target("leaving", "north", 0);
     let suspect = case.target("suspect", "north", 0);
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn decision_among_many_looks_at_few_and_finds_the_resident_prefix() {
+fn decision_among_many_evaluates_few_and_finds_the_resident_prefix() {
     let mut case = Case::new(16);
     for n in 0..3_000 {
         case.target(&format!("engine-{n}"), "north", n);
@@ -254,7 +254,7 @@
 
 proptest! {
     #[test]
-    fn unfit_targets_are_never_chosen_and_fetches_are_contiguous(
+    fn ineligible_targets_are_never_chosen_and_fetches_are_contiguous(
         states in prop::collection::vec((0_u8..3, 0_u64..50_000, 0_u16..9, any::<bool>()), 1..12),
         near in 0_u16..9,
         far in 0_u16..9,
@@ -262,11 +262,11 @@
         seed in any::<u64>(),
     ) {
         let mut case = Case::new(8);
-        for (n, (state, queued, resident, is_certain)) in states.iter().enumerate() {
+        for (n, (state, queued, resident, is_confirmed)) in states.iter().enumerate() {
             let key = case.target(&format!("engine-{n}"), ["north", "south"][n % 2], *queued);
             case.view.targets[key].state =
                 [TargetState::Live, TargetState::Leaving, TargetState::Suspect][usize::from(*state)];
-            case.resident(key, *resident, *is_certain);
+            case.resident(key, *resident, *is_confirmed);
         }
         case.store("north", near);
         case.store("south", far);
--- a/components/policy/tests/quarantine.rs
+++ b/components/policy/tests/quarantine.rs
@@ -1,4 +1,5 @@
-//! Requests that crash each target that runs them, sent again at any host, in virtual time.
+//! Guards the number of targets that a request can crash while callers resend it to any host and hosts are
+//! replaced. Runs in virtual time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,31 +13,31 @@
 const HOSTS: usize = 9;
 const TARGETS: usize = 20;
 const TICK: Duration = Duration::from_millis(50);
-/// Ticks that a healthy request runs.
+/// Ticks for which a healthy request runs.
 const RUN_TICKS: u64 = 40;
 /// Ticks until a bad request crashes its target.
 const CRASH_TICKS: u64 = 8;
-/// Ticks until a target is back.
+/// Ticks until a crashed target is up again.
 const RESTART_TICKS: u64 = 60;
-/// Mean ticks between two replaced hosts.
+/// Mean number of ticks between replacements of a host.
 const REPLACE_TICKS: u64 = 100;
-/// Callers that send each bad request at the same moment.
-const EAGER_CALLERS: usize = 9;
-/// Longest that a try keeps equal ones waiting.
+/// Number of callers that send each bad request at the same time.
+const CALLERS_PER_BAD_REQUEST: usize = 9;
+/// Time after which a try no longer blocks equal requests.
 const LONGEST_TRY: Duration = Duration::from_secs(60);
 
 #[derive(Clone)]
 struct Call {
     request: Fingerprint,
     is_bad: bool,
-    /// Tries that are left to the caller.
+    /// Number of times that the caller may still send the request.
     sends: u32,
 }
 
 struct Run {
     call: Call,
     id: TryId,
-    /// Whether the host that sent it is gone.
+    /// Whether the sending host was removed.
     is_orphan: bool,
     target: usize,
     ends_at: u64,
@@ -51,22 +52,22 @@
 struct Sim {
     rng: ChaCha8Rng,
     tick: u64,
-    /// Tries so far.
+    /// Number of tries so far.
     tries: u64,
-    /// One register a host; a fingerprint's owner holds its permits.
+    /// One register per host; the owner of a fingerprint grants its permits.
     registers: Vec<Quarantine>,
     /// Rows of the table service.
     table: BTreeMap<Fingerprint, Suspicion>,
     targets: Vec<Target>,
     waiting: Vec<Call>,
     running: Vec<Run>,
-    /// Crashes that each bad request caused.
+    /// Number of crashes caused by each bad request.
     crashes: BTreeMap<Fingerprint, usize>,
     healthy: usize,
     answered: usize,
-    condemned: usize,
-    /// Healthy requests that were aboard a target that crashed.
-    bystanders: usize,
+    quarantined_healthy: usize,
+    /// Number of healthy requests that ran on a target when it crashed.
+    affected_healthy: usize,
 }
 
 impl Sim {
@@ -88,8 +89,8 @@
             crashes: BTreeMap::new(),
             healthy: 0,
             answered: 0,
-            condemned: 0,
-            bystanders: 0,
+            quarantined_healthy: 0,
+            affected_healthy: 0,
         }
     }
 
@@ -136,11 +137,11 @@
                 sends: 6,
             };
             self.crashes.insert(request, 0);
-            self.waiting.extend(vec![call; EAGER_CALLERS]);
+            self.waiting.extend(vec![call; CALLERS_PER_BAD_REQUEST]);
         }
     }
 
-    /// A caller's request comes to a host, which asks the fingerprint's owner.
+    /// Delivers a caller's request to a random host, which asks the owner of the fingerprint for a permit.
     fn send(&mut self, call: Call) {
         let host = self.rng.random_range(0..HOSTS);
         self.tries += 1;
@@ -159,7 +160,7 @@
             }
             Permit::Wait => return self.waiting.push(call),
             Permit::Quarantined { .. } => {
-                self.condemned += usize::from(!call.is_bad);
+                self.quarantined_healthy += usize::from(!call.is_bad);
                 return;
             }
         };
@@ -185,7 +186,7 @@
         });
     }
 
-    /// Hosts tell each other where suspects run.
+    /// Returns the targets that run suspects, as reported by all hosts.
     fn targets_of_suspects(&self, except: Fingerprint) -> Vec<TargetId> {
         let registers = self.registers.iter();
         registers
@@ -206,7 +207,8 @@
         }
     }
 
-    /// All that runs on the target fails; each host reports its own.
+    /// Crashes the target of `culprit`: everything that runs on it fails, and each host reports its own
+    /// tries.
     fn crash(&mut self, culprit: Run) {
         let target = culprit.target;
         *self.crashes.entry(culprit.call.request).or_default() += 1;
@@ -216,12 +218,12 @@
         };
         self.targets[target].incarnation += 1;
         self.targets[target].down_until = self.tick + RESTART_TICKS;
-        let (mut aboard, others): (Vec<_>, Vec<_>) = std::mem::take(&mut self.running)
+        let (mut affected, others): (Vec<_>, Vec<_>) = std::mem::take(&mut self.running)
             .into_iter()
             .partition(|run| run.target == target);
         self.running = others;
-        self.bystanders += aboard.iter().filter(|run| !run.call.is_bad).count();
-        aboard.push(culprit);
+        self.affected_healthy += affected.iter().filter(|run| !run.call.is_bad).count();
+        affected.push(culprit);
         let now = self.now();
         for host in 0..HOSTS {
             for (request, suspicion) in self.registers[host].record_crash(&crash) {
@@ -229,7 +231,7 @@
                 self.registers[Self::owner(&request)].merge(request, &suspicion, now);
             }
         }
-        for run in aboard {
+        for run in affected {
             self.end(&run, &TryOutcome::Crashed(crash.clone()));
             if !run.is_orphan {
                 self.send_again(run.call);
@@ -244,24 +246,25 @@
         }
     }
 
-    fn end(&mut self, run: &Run, end: &TryOutcome) {
+    fn end(&mut self, run: &Run, outcome: &TryOutcome) {
         if !run.is_orphan {
-            self.report(run.call.request, &run.id, end);
+            self.report(run.call.request, &run.id, outcome);
         }
     }
 
-    /// What the owner learns is written to the table service before the request runs again.
-    fn report(&mut self, request: Fingerprint, id: &TryId, end: &TryOutcome) {
+    /// Records the end of a try at the owner and its backup, and writes the result to the table service
+    /// before the request runs again.
+    fn report(&mut self, request: Fingerprint, id: &TryId, outcome: &TryOutcome) {
         let owner = Self::owner(&request);
         for register in [owner, Self::backup(owner)] {
-            if let Some(suspicion) = self.registers[register].record_end(request, id, end) {
+            if let Some(suspicion) = self.registers[register].record_end(request, id, outcome) {
                 self.table.entry(request).or_default().merge(&suspicion);
             }
         }
     }
 
-    /// A host is replaced: the new one reads what the table service and its backup hold. Targets go on with what the old one sent, and
-    /// its callers send their requests again.
+    /// Replaces a host. The new one reads the state of the table service and of its backup. Targets continue
+    /// the requests of the old host, whose callers send them again.
     fn replace_host(&mut self) {
         let (host, now) = (self.rng.random_range(0..HOSTS), self.now());
         let mut register = Quarantine::new(LONGEST_TRY);
@@ -273,7 +276,7 @@
         });
         self.registers[host] = register;
         for register in &mut self.registers {
-            register.lose_host(&host_name(host), now);
+            register.remove_host(&host_name(host), now);
         }
         let mut calls = Vec::new();
         for run in self
@@ -307,7 +310,7 @@
 
 #[test]
 fn a_bad_request_crashes_at_most_two_targets() {
-    let (mut bystanders, mut condemned, mut healthy) = (0, 0, 0);
+    let (mut affected_healthy, mut quarantined_healthy, mut healthy) = (0, 0, 0);
     let mut counts = [0; 3];
     for seed in 0..20 {
         let mut sim = Sim::new(seed);
@@ -317,22 +320,23 @@
             counts[*crashes] += 1;
         }
         assert!(
-            sim.answered + sim.condemned + 200 > sim.healthy,
-            "seed {seed}: bystanders are not answered"
+            sim.answered + sim.quarantined_healthy + 200 > sim.healthy,
+            "seed {seed}: healthy requests are not answered"
         );
-        bystanders += sim.bystanders;
-        condemned += sim.condemned;
+        affected_healthy += sim.affected_healthy;
+        quarantined_healthy += sim.quarantined_healthy;
         healthy += sim.healthy;
     }
     println!(
-        "bad requests by crashes {counts:?}; {healthy} healthy, {bystanders} aboard a crash, {condemned} condemned"
+        "bad requests by crashes {counts:?}; {healthy} healthy, {affected_healthy} affected by crashes, {quarantined_healthy} quarantined"
     );
-    // One bad request in 200 healthy ones: of a thousand healthy requests at most one may be condemned.
-    assert!(condemned * 1_000 <= healthy);
+    // There is one bad request per 200 healthy ones. At most one of 1,000 healthy requests may be
+    // quarantined.
+    assert!(quarantined_healthy * 1_000 <= healthy);
 }
 
 #[test]
-fn copies_merge_in_any_order_and_twice() {
+fn suspicion_merge_is_commutative_and_idempotent() {
     let crash = |incarnation| Crash {
         target: "engine-1".into(),
         incarnation,
@@ -342,25 +346,25 @@
     let mut first = Quarantine::new(LONGEST_TRY);
     let one = first
         .record_end(request, &host, &TryOutcome::Crashed(crash(1)))
-        .expect("news");
-    let well = first
+        .expect("a changed history");
+    let success = first
         .record_end(request, &host, &TryOutcome::Succeeded)
-        .expect("news");
+        .expect("a changed history");
     let two = first
         .record_end(request, &host, &TryOutcome::Crashed(crash(2)))
-        .expect("news");
+        .expect("a changed history");
     let mut forward = Suspicion::default();
     let mut backward = Suspicion::default();
-    [&one, &well, &two, &one]
+    [&one, &success, &two, &one]
         .into_iter()
         .for_each(|s| forward.merge(s));
-    [&two, &well, &one].into_iter().for_each(|s| backward.merge(s));
+    [&two, &success, &one].into_iter().for_each(|s| backward.merge(s));
     assert_eq!(forward, backward);
     assert_eq!((forward.crash_count(), forward.is_quarantined()), (1, false));
 }
 
 #[test]
-fn equal_requests_wait_for_the_first_until_it_ended_well() {
+fn equal_requests_wait_until_the_first_succeeds() {
     let mut register = Quarantine::new(LONGEST_TRY);
     let request = utils::digest(b"request");
     let (first, second) = (id("entry-1"), id("entry-2"));
--- a/components/policy/tests/retry.rs
+++ b/components/policy/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Load on targets while every target fails, in virtual time.
+//! Guards the load on targets while all of them fail, and the retries after a crash. Runs in virtual time.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
 
 const HOSTS: usize = 9;
 const MAX_ATTEMPTS: u32 = 4;
-/// Stated target: tries for each offered request.
-const MOST_AMPLIFICATION: f64 = 1.2;
+/// Limit for the number of tries per offered request.
+const MAX_AMPLIFICATION: f64 = 1.2;
 
 fn failed(attempt: u32, now: Duration) -> FailedTry {
     FailedTry {
@@ -23,7 +23,7 @@
     }
 }
 
-/// When a request is tried again, if it is.
+/// Returns when a request is retried, if at all.
 fn retry_at(failed: &FailedTry, budget: &mut RetryBudget, rng: &mut ChaCha8Rng) -> Option<Duration> {
     let mut now = failed.failed_at;
     loop {
@@ -36,8 +36,9 @@
     }
 }
 
-/// Tries in each second while every target fails, after a time in which all requests went well.
-fn tries_in_storm(seed: u64, offered_a_second: usize, seconds: usize) -> Vec<usize> {
+/// Returns the number of tries in each second of an outage of all targets that follows a period without
+/// failures.
+fn tries_in_outage(seed: u64, offered_a_second: usize, seconds: usize) -> Vec<usize> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut budgets = [RetryBudget::default(); HOSTS];
     for budget in &mut budgets {
@@ -64,19 +65,19 @@
 fn retries_do_not_amplify_an_outage() {
     for seed in 0..20 {
         let offered = 1_000;
-        let tries = tries_in_storm(seed, offered, 30);
+        let tries = tries_in_outage(seed, offered, 30);
         let worst = tries.iter().max().copied().unwrap_or_default() as f64 / offered as f64;
         let total = tries.iter().sum::<usize>() as f64 / (30 * offered) as f64;
         if seed == 0 {
             println!("worst second {worst:.3}, whole outage {total:.3} tries a request");
         }
-        assert!(worst < MOST_AMPLIFICATION, "seed {seed}: {worst}");
-        assert!(total < MOST_AMPLIFICATION, "seed {seed}: {total}");
+        assert!(worst < MAX_AMPLIFICATION, "seed {seed}: {worst}");
+        assert!(total < MAX_AMPLIFICATION, "seed {seed}: {total}");
     }
 }
 
 #[test]
-fn a_decision_says_why_it_stops() {
+fn stop_decision_carries_its_reason() {
     let now = Duration::from_secs(1);
     let decide = |failed: FailedTry, budget: &mut RetryBudget| {
         next_try(&failed, budget, &Backoff::default(), 0.5, now).decision
@@ -117,11 +118,11 @@
 }
 
 #[test]
-fn all_drafts_aboard_one_crashed_target_are_tried_again() {
-    for aboard in [10, 100, 200] {
-        let mut rng = ChaCha8Rng::seed_from_u64(aboard);
+fn all_drafts_of_one_crashed_target_are_retried() {
+    for affected in [10, 100, 200] {
+        let mut rng = ChaCha8Rng::seed_from_u64(affected);
         let mut budget = RetryBudget::default();
-        let mut waiting: Vec<Duration> = (0..aboard).map(|_| Duration::ZERO).collect();
+        let mut waiting: Vec<Duration> = (0..affected).map(|_| Duration::ZERO).collect();
         let mut running: Vec<Duration> = Vec::new();
         let (mut answered, mut given_up, mut now) = (0, 0, Duration::ZERO);
         while !waiting.is_empty() || !running.is_empty() {
@@ -156,7 +157,7 @@
                 }
             }
         }
-        println!("{aboard} aboard: {answered} answered, {given_up} given up, after {now:?}");
+        println!("{affected} affected: {answered} answered, {given_up} given up, after {now:?}");
         assert_eq!(given_up, 0);
     }
 }
