--- a/components/directory/examples/measure.rs
+++ b/components/directory/examples/measure.rs
@@ -1,4 +1,5 @@
-//! Prints memory for a piece and the time of a lookup: `cargo run --release -p directory --example measure`.
+//! Prints the memory per piece and the duration of lookups: `cargo run --release -p directory --example
+//! measure`.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -8,13 +9,13 @@
 use slotmap::SlotMap;
 use targets::{CacheSnapshot, PieceId};
 
-/// Pieces in a chain.
+/// Number of pieces in a chain.
 const CHAIN: usize = 16;
 
-/// Chains in the directory.
+/// Number of chains in the directory.
 const CHAINS: usize = 40_000;
 
-/// Targets that hold them, two for each chain.
+/// Number of targets; each chain is on one or two of them.
 const TARGETS: usize = 20;
 
 fn main() {
@@ -40,7 +41,8 @@
     time_naming();
 }
 
-/// A chain of distinct names with a common front, as [`Chain`] gives; its text does not matter here.
+/// Returns a chain of distinct names that share their leading bytes, as those of [`Chain`] do. The prompt's
+/// text is irrelevant here.
 fn chain(number: usize) -> Vec<PieceId> {
     let root = utils::digest(&number.to_le_bytes());
     let name = |index: usize| {
--- a/components/directory/src/copies.rs
+++ b/components/directory/src/copies.rs
@@ -13,53 +13,53 @@
 use crate::segment::{HolderId, Segment};
 use crate::shard::Sharding;
 
-/// Tables that the pieces are divided into; a change copies only the tables that readers share.
+/// Number of tables over which the pieces are divided. A change copies only those tables that readers share.
 const SEGMENTS: usize = 256;
 
-/// Where each piece is, from the events of targets and the catalogues of stores.
+/// The locations of all pieces, from the events of targets and the catalogues of stores.
 ///
-/// The control thread owns a directory and gives traffic threads a [`DirectoryView`] of it. All of it is a hint: a
-/// target checks a piece before it uses it.
+/// The control thread owns the directory and shares a [`DirectoryView`] of it with the traffic threads. All
+/// locations are hints: a target checks that it has a piece before it uses it.
 #[derive(Debug, Default)]
 pub struct Directory {
-    /// What readers see.
+    /// State that is shared with readers.
     view: DirectoryView,
-    /// Shards that this host keeps; `None` for all.
+    /// Shards that this host owns; `None` if it owns all.
     sharding: Option<Sharding>,
-    /// Position in each target's events.
+    /// Holders and event position of each target.
     targets: SecondaryMap<CandidateKey, Source>,
-    /// Position in each store's changes.
+    /// Holders and change position of each store.
     stores: SecondaryMap<StoreKey, Source>,
-    /// The table that is cleaned of retired holders next.
-    sweep_at: usize,
+    /// Index of the table that is cleaned of retired holders next.
+    sweep_position: usize,
 }
 
-/// An immutable state of a [`Directory`].
+/// An immutable snapshot of a [`Directory`].
 #[derive(Debug, Clone)]
 pub struct DirectoryView {
-    /// Pieces, by a byte of their names.
+    /// Tables of pieces, by the first byte of the piece's name.
     segments: Vec<Arc<Segment>>,
     /// Holders by identifier.
     holders: Arc<Holders>,
 }
 
-/// A target or store that reports its pieces.
+/// The holders of a target or store and the position in its changes.
 #[derive(Debug, Clone, Copy)]
 struct Source {
-    /// Holder of what it reported.
+    /// Holder for the pieces that it reported.
     reported: HolderId,
-    /// Holder of what is expected of it.
+    /// Holder for the pieces that it is expected to have.
     expected: HolderId,
-    /// Position in its changes.
+    /// Position in its numbered changes.
     feed: Feed,
 }
 
-/// Memory of a directory.
+/// Size and memory use of a directory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Footprint {
-    /// Pieces known.
+    /// Number of pieces.
     pub pieces: usize,
-    /// Bytes of heap for them.
+    /// Heap memory of the pieces, in bytes.
     pub bytes: usize,
 }
 
@@ -73,49 +73,50 @@
 }
 
 impl Directory {
-    /// A directory of the shards that `me` keeps; none until the live hosts are known.
-    pub fn sharded(me: HostId) -> Self {
+    /// Creates a directory of the shards that `host` owns; none until the live hosts are set.
+    pub fn sharded(host: HostId) -> Self {
         Self {
-            sharding: Some(Sharding::new(me)),
+            sharding: Some(Sharding::new(host)),
             ..Self::default()
         }
     }
 
-    /// Takes the live hosts and drops the pieces of shards that this host no longer keeps. If it keeps new ones, all
-    /// targets and stores become doubtful: their past events were not kept, so their content has to be read again.
+    /// Sets the live hosts and drops the pieces of shards that this host no longer owns. If it gains shards,
+    /// all targets and stores become stale: their past events for these shards were not recorded, and their
+    /// content has to be read again.
     pub fn set_hosts(&mut self, hosts: &BTreeSet<HostId>) -> Reread {
         let Some(sharding) = &mut self.sharding else {
             return Reread::NotNeeded;
         };
         let gained = sharding.set_hosts(hosts);
         for segment in &mut self.view.segments {
-            Arc::make_mut(segment).retain(|fingerprint, _| sharding.keeps_shard(fingerprint as u16));
+            Arc::make_mut(segment).retain(|fingerprint, _| sharding.owns_prefix(fingerprint as u16));
         }
         if gained.is_empty() {
             return Reread::NotNeeded;
         }
-        self.doubt_all();
+        self.mark_all_stale();
         Reread::Needed
     }
 
-    /// Targets whose content has to be read again.
-    pub fn doubtful_targets(&self) -> impl Iterator<Item = CandidateKey> {
-        let doubtful = self.targets.iter().filter(|(_, s)| s.feed.is_doubtful());
-        doubtful.map(|(key, _)| key)
+    /// Returns the targets whose content has to be read again.
+    pub fn stale_targets(&self) -> impl Iterator<Item = CandidateKey> {
+        let stale = self.targets.iter().filter(|(_, s)| s.feed.is_stale());
+        stale.map(|(key, _)| key)
     }
 
-    /// Stores whose content has to be read again.
-    pub fn doubtful_stores(&self) -> impl Iterator<Item = StoreKey> {
-        let doubtful = self.stores.iter().filter(|(_, s)| s.feed.is_doubtful());
-        doubtful.map(|(key, _)| key)
+    /// Returns the stores whose content has to be read again.
+    pub fn stale_stores(&self) -> impl Iterator<Item = StoreKey> {
+        let stale = self.stores.iter().filter(|(_, s)| s.feed.is_stale());
+        stale.map(|(key, _)| key)
     }
 
-    /// The state as of now, for other threads.
+    /// Returns a snapshot of the current state for other threads.
     pub fn view(&self) -> DirectoryView {
         self.view.clone()
     }
 
-    /// Pieces and memory.
+    /// Returns the number of pieces and their memory use.
     pub fn footprint(&self) -> Footprint {
         let segments = self.view.segments.iter();
         Footprint {
@@ -124,24 +125,24 @@
         }
     }
 
-    /// Number of the first cache event of a target that was not applied.
+    /// Returns the number of the first cache event of a target that has not been applied.
     pub fn next_event(&self, target: CandidateKey) -> u64 {
         self.targets.get(target).map_or(0, |s| s.feed.next())
     }
 
-    /// Number of the first change of a store that was not applied.
+    /// Returns the number of the first change of a store that has not been applied.
     pub fn next_change(&self, store: StoreKey) -> u64 {
         self.stores.get(store).map_or(0, |s| s.feed.next())
     }
 
-    /// Takes cache events of a target.
+    /// Applies cache events of a target.
     pub fn apply_events(&mut self, target: CandidateKey, batch: &CacheEvents) -> Reread {
-        let mut source = self.target(target);
+        let mut source = self.target_source(target);
         let advance = source
             .feed
             .advance(batch.incarnation, batch.first, batch.events.len());
         if advance.restarted {
-            source = self.replace(Holder::target(target), source);
+            source = self.replace_holders(Holder::target(target), source);
         }
         for event in &batch.events[advance.fresh] {
             match event {
@@ -150,16 +151,16 @@
             }
         }
         self.targets.insert(target, source);
-        self.note_doubt(&source);
+        self.update_confirmation(&source);
         self.sweep();
         source.feed.reread()
     }
 
-    /// Takes the whole content of a target's cache in place of all that was known of it.
+    /// Replaces the recorded content of a target with a snapshot of its cache.
     pub fn apply_snapshot(&mut self, target: CandidateKey, snapshot: &CacheSnapshot) {
-        let mut source = self.target(target);
-        source = self.replace(Holder::target(target), source);
-        source.feed.restart(snapshot.incarnation, snapshot.next);
+        let mut source = self.target_source(target);
+        source = self.replace_holders(Holder::target(target), source);
+        source.feed.reset(snapshot.incarnation, snapshot.next);
         for piece in &snapshot.pieces {
             self.insert(piece, source.reported);
         }
@@ -167,16 +168,17 @@
         self.sweep();
     }
 
-    /// Takes the changes of a store since number `from`. A catalogue from 0 on is the whole content.
+    /// Applies the changes of a store from number `from` on. A catalogue from 0 on holds the whole content
+    /// and replaces the recorded one.
     pub fn apply_catalogue(&mut self, store: StoreKey, from: u64, catalogue: &Catalogue) -> Reread {
-        let mut source = self.store(store);
+        let mut source = self.store_source(store);
         if from == 0 {
-            source = self.replace(Holder::store(store), source);
-            source.feed.restart(catalogue.incarnation, catalogue.next);
+            source = self.replace_holders(Holder::store(store), source);
+            source.feed.reset(catalogue.incarnation, catalogue.next);
         } else {
             let count = usize::try_from(catalogue.next.saturating_sub(from)).unwrap_or(usize::MAX);
             if source.feed.advance(catalogue.incarnation, from, count).restarted {
-                source = self.replace(Holder::store(store), source);
+                source = self.replace_holders(Holder::store(store), source);
             }
         }
         for piece in &catalogue.stored {
@@ -186,21 +188,22 @@
             self.remove(piece, &source);
         }
         self.stores.insert(store, source);
-        self.note_doubt(&source);
+        self.update_confirmation(&source);
         self.sweep();
         source.feed.reread()
     }
 
-    /// Takes it that a target will soon hold the pieces of a prompt that was sent to it. They stay doubtful.
+    /// Records that a target is expected to have the pieces of a prompt that was sent to it. They stay
+    /// unconfirmed until the target reports them.
     pub fn add_expected(&mut self, target: CandidateKey, pieces: &[PieceId]) {
-        let source = self.target(target);
+        let source = self.target_source(target);
         for piece in pieces {
             self.insert(piece, source.expected);
         }
         self.targets.insert(target, source);
     }
 
-    /// Forgets what was expected of a target and has not been reported.
+    /// Removes the expected pieces of a target that it has not reported.
     pub fn forget_expected(&mut self, target: CandidateKey) {
         let Some(mut source) = self.targets.get(target).copied() else {
             return;
@@ -210,7 +213,8 @@
         self.targets.insert(target, source);
     }
 
-    /// Takes what a target used of a prompt: it lacks the pieces from `cached` on, whatever was reported.
+    /// Removes the pieces from index `cached` on from a target, whether reported or expected: the target ran
+    /// the prompt and had only those before `cached`.
     pub fn remove_uncached(&mut self, target: CandidateKey, pieces: &[PieceId], cached: usize) {
         let Some(source) = self.targets.get(target).copied() else {
             return;
@@ -220,37 +224,37 @@
         }
     }
 
-    /// Marks all that is known of a target as doubtful, until its snapshot is read.
-    pub fn doubt_target(&mut self, target: CandidateKey) {
+    /// Marks the recorded content of a target as unconfirmed until its snapshot is read.
+    pub fn mark_target_stale(&mut self, target: CandidateKey) {
         if let Some(source) = self.targets.get_mut(target) {
-            source.feed.doubt();
+            source.feed.mark_stale();
             let reported = source.reported;
-            self.holders_mut().set_doubtful(reported, true);
+            self.holders_mut().set_unconfirmed(reported, true);
         }
     }
 
-    /// Forgets a target that has gone.
+    /// Removes a target and its entries.
     pub fn remove_target(&mut self, target: CandidateKey) {
         if let Some(source) = self.targets.remove(target) {
             self.retire(source);
         }
     }
 
-    /// Forgets a store that has gone.
+    /// Removes a store and its entries.
     pub fn remove_store(&mut self, store: StoreKey) {
         if let Some(source) = self.stores.remove(store) {
             self.retire(source);
         }
     }
 
-    fn target(&mut self, key: CandidateKey) -> Source {
+    fn target_source(&mut self, key: CandidateKey) -> Source {
         match self.targets.get(key) {
             Some(source) => *source,
             None => self.add_source(Holder::target(key)),
         }
     }
 
-    fn store(&mut self, key: StoreKey) -> Source {
+    fn store_source(&mut self, key: StoreKey) -> Source {
         match self.stores.get(key) {
             Some(source) => *source,
             None => self.add_source(Holder::store(key)),
@@ -266,8 +270,8 @@
         }
     }
 
-    /// Gives a source new holders, which hold nothing yet; its feed is kept.
-    fn replace(&mut self, holder: Holder, old: Source) -> Source {
+    /// Replaces the holders of a source with new ones without entries; its feed stays the same.
+    fn replace_holders(&mut self, holder: Holder, old: Source) -> Source {
         self.retire(old);
         let feed = old.feed;
         Source {
@@ -282,18 +286,18 @@
         holders.retire(source.expected);
     }
 
-    fn note_doubt(&mut self, source: &Source) {
-        if self.view.holders.is_doubtful(source.reported) != source.feed.is_doubtful() {
+    fn update_confirmation(&mut self, source: &Source) {
+        if self.view.holders.is_unconfirmed(source.reported) != source.feed.is_stale() {
             self.holders_mut()
-                .set_doubtful(source.reported, source.feed.is_doubtful());
+                .set_unconfirmed(source.reported, source.feed.is_stale());
         }
     }
 
-    fn doubt_all(&mut self) {
+    fn mark_all_stale(&mut self) {
         let holders = Arc::make_mut(&mut self.view.holders);
         for source in self.targets.values_mut().chain(self.stores.values_mut()) {
-            source.feed.doubt();
-            holders.set_doubtful(source.reported, true);
+            source.feed.mark_stale();
+            holders.set_unconfirmed(source.reported, true);
         }
     }
 
@@ -302,7 +306,7 @@
     }
 
     fn insert(&mut self, piece: &PieceId, holder: HolderId) {
-        if holder == 0 || self.sharding.as_ref().is_some_and(|s| !s.keeps(piece)) {
+        if holder == 0 || self.sharding.as_ref().is_some_and(|s| !s.owns(piece)) {
             return;
         }
         let (segment, fingerprint) = locate(piece);
@@ -316,18 +320,18 @@
         segment.remove(fingerprint, source.expected);
     }
 
-    /// Cleans one table of retired holders; their identifiers are free once all tables are clean.
+    /// Cleans one table of retired holders. Their identifiers become free once all tables are clean.
     fn sweep(&mut self) {
         if !self.view.holders.has_retired() {
             return;
         }
-        if self.sweep_at == 0 {
+        if self.sweep_position == 0 {
             self.holders_mut().start_sweep();
         }
         let holders = Arc::clone(&self.view.holders);
-        Arc::make_mut(&mut self.view.segments[self.sweep_at]).retain(|_, h| !holders.is_swept(h));
-        self.sweep_at = (self.sweep_at + 1) % SEGMENTS;
-        if self.sweep_at == 0 {
+        Arc::make_mut(&mut self.view.segments[self.sweep_position]).retain(|_, h| !holders.is_swept(h));
+        self.sweep_position = (self.sweep_position + 1) % SEGMENTS;
+        if self.sweep_position == 0 {
             drop(holders);
             self.holders_mut().finish_sweep();
         }
@@ -335,8 +339,8 @@
 }
 
 impl DirectoryView {
-    /// Brings the slots of the pieces into the CPU's cache; these reads do not wait for each other.
-    fn load(&self, pieces: &[PieceId]) {
+    /// Loads the slots of the pieces into the CPU cache. The reads are independent and overlap.
+    fn prefetch(&self, pieces: &[PieceId]) {
         let slots = pieces.iter().take(MAX_PIECES).map(|piece| {
             let (segment, fingerprint) = locate(piece);
             self.segments[segment].first_probe(fingerprint)
@@ -348,11 +352,11 @@
 impl CacheIndex for DirectoryView {
     fn copies(&self, pieces: &[PieceId]) -> Copies {
         let mut copies = Copies::default();
-        self.load(pieces);
+        self.prefetch(pieces);
         for (index, piece) in pieces.iter().take(MAX_PIECES).enumerate() {
             let (segment, fingerprint) = locate(piece);
             let holders = self.segments[segment].holders(fingerprint);
-            if !self.holders.describe(holders, index as u16, &mut copies) {
+            if !self.holders.add_to_copies(holders, index as u16, &mut copies) {
                 break;
             }
         }
@@ -360,8 +364,8 @@
     }
 }
 
-/// The table of a piece and its fingerprint in it; the low 16 bits of a fingerprint give the shard. All pieces of a
-/// prompt are in one table, so that a lookup touches little memory.
+/// Returns the table of a piece and its fingerprint in the table. The low 16 bits of the fingerprint give the
+/// shard. All pieces of a prompt are in one table, which limits the memory that a lookup touches.
 fn locate(piece: &PieceId) -> (usize, u64) {
     let name = piece.as_bytes();
     let mut fingerprint = [0; 8];
--- a/components/directory/src/feed.rs
+++ b/components/directory/src/feed.rs
@@ -6,29 +6,29 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[must_use]
 pub enum Reread {
-    /// What is known follows from all events so far.
+    /// The recorded content reflects all events so far.
     NotNeeded,
-    /// Events are missing; entries are doubtful until a snapshot is read.
+    /// Events are missing; entries are unconfirmed until a snapshot is read.
     Needed,
 }
 
-/// Position in the numbered changes of one process.
+/// Position in the numbered changes of one process incarnation.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Feed {
-    /// Run of the process, once known.
+    /// Incarnation of the process, once known.
     incarnation: Option<Incarnation>,
-    /// Number of the first change that was not applied.
+    /// Number of the first change that has not been applied.
     next: u64,
     /// Whether changes are missing.
-    is_doubtful: bool,
+    is_stale: bool,
 }
 
-/// What a feed makes of a batch of changes.
+/// The effect of a batch of changes on a [`Feed`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Advance {
-    /// The process started anew: all that is known of it is void.
+    /// Whether the process was restarted, which invalidates all recorded content.
     pub(crate) restarted: bool,
-    /// Positions in the batch that are new.
+    /// Indexes of the changes in the batch that have not been applied before.
     pub(crate) fresh: Range<usize>,
 }
 
@@ -37,15 +37,15 @@
         self.next
     }
 
-    pub(crate) fn is_doubtful(&self) -> bool {
-        self.is_doubtful
+    pub(crate) fn is_stale(&self) -> bool {
+        self.is_stale
     }
 
-    pub(crate) fn doubt(&mut self) {
-        self.is_doubtful = true;
+    pub(crate) fn mark_stale(&mut self) {
+        self.is_stale = true;
     }
 
-    /// Takes `count` changes from number `first` on.
+    /// Advances over `count` changes from number `first` on, and detects restarts and gaps.
     pub(crate) fn advance(&mut self, incarnation: Incarnation, first: u64, count: usize) -> Advance {
         let restarted = self.incarnation != Some(incarnation);
         if restarted {
@@ -55,7 +55,7 @@
             };
         }
         if first > self.next {
-            self.is_doubtful = true;
+            self.is_stale = true;
         }
         let known = usize::try_from(self.next.saturating_sub(first))
             .unwrap_or(usize::MAX)
@@ -67,17 +67,17 @@
         }
     }
 
-    /// Takes a whole snapshot; changes from `next` on follow it.
-    pub(crate) fn restart(&mut self, incarnation: Incarnation, next: u64) {
+    /// Sets the position after a snapshot; changes from number `next` on follow it.
+    pub(crate) fn reset(&mut self, incarnation: Incarnation, next: u64) {
         *self = Self {
             incarnation: Some(incarnation),
             next,
-            is_doubtful: false,
+            is_stale: false,
         };
     }
 
     pub(crate) fn reread(&self) -> Reread {
-        if self.is_doubtful {
+        if self.is_stale {
             Reread::Needed
         } else {
             Reread::NotNeeded
--- a/components/directory/src/holders.rs
+++ b/components/directory/src/holders.rs
@@ -4,56 +4,56 @@
 
 use crate::segment::HolderId;
 
-/// Who holds a piece.
+/// What a holder identifier refers to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Owner {
-    /// Free identifier, or one that no longer counts.
-    Nobody,
+enum HolderKind {
+    /// Nothing: the identifier is free or retired.
+    Unassigned,
     /// A target.
     Target(CandidateKey),
     /// A store.
     Store(StoreKey),
 }
 
-/// An owner and how far its entries can be trusted.
+/// A target or store, and whether its entries are confirmed.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Holder {
-    /// The owner.
-    owner: Owner,
+    /// The target or store.
+    kind: HolderKind,
     /// Whether the entries may be wrong.
-    is_doubtful: bool,
+    is_unconfirmed: bool,
 }
 
-/// Holders by identifier, from 1. An identifier that was retired is used again only after a sweep of all tables.
+/// Holders by identifier, starting at 1. A retired identifier is reused only after a sweep of all tables.
 #[derive(Debug, Clone)]
 pub(crate) struct Holders {
-    /// The holders; the first is never used.
+    /// The holders by identifier; index 0 is never used.
     holders: Vec<Holder>,
-    /// Identifiers that can be given out.
+    /// Identifiers available for reuse.
     free: Vec<HolderId>,
-    /// Identifiers that wait for the next sweep.
+    /// Identifiers that await the next sweep.
     retired: Vec<HolderId>,
-    /// Identifiers that the current sweep removes, in order.
+    /// Identifiers that the current sweep removes, sorted.
     swept: Vec<HolderId>,
 }
 
 impl Holder {
-    const NOBODY: Self = Self {
-        owner: Owner::Nobody,
-        is_doubtful: true,
+    const UNASSIGNED: Self = Self {
+        kind: HolderKind::Unassigned,
+        is_unconfirmed: true,
     };
 
     pub(crate) fn target(key: CandidateKey) -> Self {
         Self {
-            owner: Owner::Target(key),
-            is_doubtful: false,
+            kind: HolderKind::Target(key),
+            is_unconfirmed: false,
         }
     }
 
     pub(crate) fn store(key: StoreKey) -> Self {
         Self {
-            owner: Owner::Store(key),
-            is_doubtful: false,
+            kind: HolderKind::Store(key),
+            is_unconfirmed: false,
         }
     }
 
@@ -63,7 +63,7 @@
 
     pub(crate) fn as_expected(self) -> Self {
         Self {
-            is_doubtful: true,
+            is_unconfirmed: true,
             ..self
         }
     }
@@ -72,7 +72,7 @@
 impl Default for Holders {
     fn default() -> Self {
         Self {
-            holders: vec![Holder::NOBODY],
+            holders: vec![Holder::UNASSIGNED],
             free: Vec::new(),
             retired: Vec::new(),
             swept: Vec::new(),
@@ -81,7 +81,7 @@
 }
 
 impl Holders {
-    /// Gives a holder an identifier. With none left, its entries are lost: the identifier 0 is never found.
+    /// Assigns an identifier to a holder. Returns 0 if all are in use; entries under 0 are never stored.
     pub(crate) fn add(&mut self, holder: Holder) -> HolderId {
         if let Some(id) = self.free.pop() {
             self.holders[usize::from(id)] = holder;
@@ -95,21 +95,21 @@
         id as HolderId
     }
 
-    /// Ends a holder; its entries no longer count.
+    /// Retires a holder; its entries no longer count.
     pub(crate) fn retire(&mut self, id: HolderId) {
         if id != 0 {
-            self.holders[usize::from(id)] = Holder::NOBODY;
+            self.holders[usize::from(id)] = Holder::UNASSIGNED;
             self.retired.push(id);
         }
     }
 
-    pub(crate) fn is_doubtful(&self, id: HolderId) -> bool {
-        self.holders[usize::from(id)].is_doubtful
+    pub(crate) fn is_unconfirmed(&self, id: HolderId) -> bool {
+        self.holders[usize::from(id)].is_unconfirmed
     }
 
-    pub(crate) fn set_doubtful(&mut self, id: HolderId, is_doubtful: bool) {
+    pub(crate) fn set_unconfirmed(&mut self, id: HolderId, is_unconfirmed: bool) {
         if id != 0 {
-            self.holders[usize::from(id)].is_doubtful = is_doubtful;
+            self.holders[usize::from(id)].is_unconfirmed = is_unconfirmed;
         }
     }
 
@@ -130,16 +130,16 @@
         self.free.append(&mut self.swept);
     }
 
-    /// Adds the holders of piece `index` to `copies`; false if nobody holds it.
-    pub(crate) fn describe(&self, ids: &[HolderId], index: u16, copies: &mut Copies) -> bool {
+    /// Adds the holders of piece `index` to `copies`. Returns whether any target or store counts as a holder.
+    pub(crate) fn add_to_copies(&self, ids: &[HolderId], index: u16, copies: &mut Copies) -> bool {
         let mut is_held = false;
         for id in ids.iter().filter(|id| **id != 0) {
             let holder = self.holders[usize::from(*id)];
-            match holder.owner {
-                Owner::Nobody => continue,
-                Owner::Target(key) => copies.add_target(key, index, !holder.is_doubtful),
-                Owner::Store(_) if holder.is_doubtful => continue,
-                Owner::Store(key) => copies.add_store(key, index),
+            match holder.kind {
+                HolderKind::Unassigned => continue,
+                HolderKind::Target(key) => copies.add_target(key, index, !holder.is_unconfirmed),
+                HolderKind::Store(_) if holder.is_unconfirmed => continue,
+                HolderKind::Store(key) => copies.add_store(key, index),
             }
             is_held = true;
         }
--- a/components/directory/src/lib.rs
+++ b/components/directory/src/lib.rs
@@ -1,4 +1,5 @@
-//! Where each piece of a prompt is kept: names of pieces, copies on targets and stores, shards over entry hosts.
+//! Directory of the locations of prompt pieces (blocks of the KV cache): names of pieces, their copies on
+//! targets and stores, and the sharding of the directory over entry hosts.
 
 mod copies;
 mod feed;
--- a/components/directory/src/piece.rs
+++ b/components/directory/src/piece.rs
@@ -7,12 +7,12 @@
 /// Bytes of prompt text in a full piece.
 pub const PIECE_BYTES: usize = PIECE_TOKENS as usize * BYTES_PER_TOKEN;
 
-/// Bytes at the front of a piece's name that all pieces with the same first piece share.
+/// Number of leading bytes of a name that all pieces of a prompt share; they determine the shard.
 pub(crate) const SHARD_BYTES: usize = 2;
 
 const WORKSPACE_CONTEXT: &str = "laburnumtally 2026 workspace piece key";
 
-/// Secret key under which the pieces of one workspace are named.
+/// Secret key for the names of one workspace's pieces.
 ///
 /// ```
 /// let secret = utils::digest(b"secret of the deployment");
@@ -26,23 +26,24 @@
 #[derive(Clone)]
 pub struct WorkspaceKey([u8; 32]);
 
-/// What computes the pieces of a prompt.
+/// The model, adapter and weights for which pieces are valid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PieceScope<'a> {
     /// Name of the model.
     pub model: &'a str,
-    /// Name of the adapter on top of the model.
+    /// Name of the adapter, if the model runs with one.
     pub adapter: Option<&'a str>,
     /// Version of the model's weights.
     pub weight_version: WeightVersion,
 }
 
-/// Names of the full pieces of a prompt, first to last. Each name covers all of the prompt up to its end.
+/// The names of the full pieces of a prompt, in order. Each name depends on the whole prompt up to the end of
+/// its piece.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Chain {
-    /// The names.
+    /// Names of the pieces, in order.
     pieces: Vec<PieceId>,
-    /// Tokens in the prompt, with those after the last full piece.
+    /// Number of tokens in the prompt, including those after the last full piece.
     tokens: u32,
 }
 
@@ -55,7 +56,7 @@
         Self(*hasher.finalize().as_bytes())
     }
 
-    /// The key for one model, adapter and weight version.
+    /// Derives the key for one model, adapter and weight version.
     fn scoped(&self, scope: PieceScope<'_>) -> [u8; 32] {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
         hasher.update(&scope.weight_version.to_le_bytes());
@@ -68,7 +69,7 @@
 }
 
 impl Chain {
-    /// Names the pieces of a prompt in one pass.
+    /// Computes the names of a prompt's pieces in one pass.
     pub fn new(key: &WorkspaceKey, scope: PieceScope<'_>, prompt: &str) -> Self {
         let key = key.scoped(scope);
         let mut parent = [0; 32];
@@ -78,7 +79,7 @@
             hasher.update(&parent);
             hasher.update(text);
             parent = *hasher.finalize().as_bytes();
-            pieces.push(name(&parent, pieces.first()));
+            pieces.push(piece_name(&parent, pieces.first()));
         }
         Self {
             pieces,
@@ -86,18 +87,19 @@
         }
     }
 
-    /// The names, first to last.
+    /// Returns the names, in order.
     pub fn pieces(&self) -> &[PieceId] {
         &self.pieces
     }
 
-    /// Tokens in the whole prompt.
+    /// Returns the number of tokens in the whole prompt.
     pub fn tokens(&self) -> u32 {
         self.tokens
     }
 }
 
-/// Tokens in a prompt as the entry hosts count them.
+/// Returns the number of tokens in a prompt as entry hosts count them: one per [`BYTES_PER_TOKEN`] bytes,
+/// rounded up.
 ///
 /// ```
 /// assert_eq!(directory::count_tokens("sacks"), 2);
@@ -106,8 +108,9 @@
     u32::try_from(prompt.len().div_ceil(BYTES_PER_TOKEN)).unwrap_or(u32::MAX)
 }
 
-/// The name of a piece starts with the first bytes of the prompt's first piece, so that a name alone gives its shard.
-fn name(hash: &[u8; 32], first: Option<&PieceId>) -> PieceId {
+/// Builds the name of a piece from its hash. The leading bytes come from the prompt's first piece; a name
+/// alone thus determines the shard.
+fn piece_name(hash: &[u8; 32], first: Option<&PieceId>) -> PieceId {
     let mut bytes = *hash;
     if let Some(first) = first {
         bytes[..SHARD_BYTES].copy_from_slice(&first.as_bytes()[..SHARD_BYTES]);
--- a/components/directory/src/segment.rs
+++ b/components/directory/src/segment.rs
@@ -2,54 +2,55 @@
 
 use slab::Slab;
 
-/// Identifier of a holder in a slot; 0 means none.
+/// Identifier of a holder in a slot; 0 means no holder.
 pub(crate) type HolderId = u16;
 
-/// Holders that a slot names without a list on the side.
-const INLINE: usize = 4;
+/// Number of holders that a slot stores inline.
+const INLINE_HOLDERS: usize = 4;
 
-/// First value of a slot whose holders are in a list.
-const LISTED: HolderId = HolderId::MAX;
+/// First value of a slot whose holders are in a separate list.
+const LIST_MARKER: HolderId = HolderId::MAX;
 
-/// Slots are added when more than this share is in use, in percent.
+/// Load above which slots are added, in percent.
 const MAX_LOAD_PERCENT: usize = 88;
 
-/// Slots after growth, in percent of those before.
+/// Number of slots after growth, in percent of the number before.
 const GROWTH_PERCENT: usize = 118;
 
-/// Slots of a segment that holds anything.
+/// Minimum number of slots of a segment that is not empty.
 const MIN_SLOTS: usize = 8;
 
-/// Probes before a search compares distances, which costs more than a probe.
-const CHEAP_PROBES: usize = 6;
+/// Number of probes before a search compares distances. A comparison costs more than a probe.
+const UNCHECKED_PROBES: usize = 6;
 
 /// A piece and its holders.
 #[derive(Debug, Clone, Copy, Default)]
 struct Slot {
     /// Part of the piece's name; 0 if the slot is free.
     fingerprint: u64,
-    /// Holders, or the mark [`LISTED`] and the key of a list.
-    holders: [HolderId; INLINE],
+    /// Identifiers of the holders, or [`LIST_MARKER`] followed by the key of a list.
+    holders: [HolderId; INLINE_HOLDERS],
 }
 
-/// A hash table by Robin Hood probing, which grows in small steps to keep its memory near its content.
+/// A hash table with Robin Hood probing. It grows in small steps, which keeps its memory close to the size of
+/// its content.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Segment {
-    /// The slots.
+    /// Slots of the table.
     slots: Vec<Slot>,
-    /// Slots in use.
+    /// Number of slots in use.
     len: usize,
-    /// Holders of pieces with more of them than fit in a slot.
+    /// Holders of pieces with more holders than fit in a slot.
     lists: Slab<Vec<HolderId>>,
 }
 
 impl Segment {
-    /// Pieces in the table.
+    /// Returns the number of pieces in the table.
     pub(crate) fn len(&self) -> usize {
         self.len
     }
 
-    /// Bytes of heap in use.
+    /// Returns the heap memory in use, in bytes.
     pub(crate) fn heap_bytes(&self) -> usize {
         let lists: usize = self
             .lists
@@ -59,7 +60,7 @@
         self.slots.capacity() * size_of::<Slot>() + self.lists.capacity() * size_of::<Vec<HolderId>>() + lists
     }
 
-    /// The holders of a piece; entries of 0 are free.
+    /// Returns the holders of a piece; entries of 0 are free.
     pub(crate) fn holders(&self, fingerprint: u64) -> &[HolderId] {
         match self.find(fingerprint) {
             Some(at) => self.holders_at(at),
@@ -67,10 +68,10 @@
         }
     }
 
-    /// Content of the slot where a search for a piece starts.
+    /// Returns the fingerprint in the slot where a search for a piece starts.
     pub(crate) fn first_probe(&self, fingerprint: u64) -> u64 {
         self.slots
-            .get(self.home(fingerprint))
+            .get(self.home_slot(fingerprint))
             .map_or(0, |slot| slot.fingerprint)
     }
 
@@ -78,7 +79,7 @@
     pub(crate) fn insert(&mut self, fingerprint: u64, holder: HolderId) {
         let Some(at) = self.find(fingerprint) else {
             self.reserve();
-            let mut holders = [0; INLINE];
+            let mut holders = [0; INLINE_HOLDERS];
             holders[0] = holder;
             self.place(Slot { fingerprint, holders });
             self.len += 1;
@@ -96,18 +97,18 @@
             let mut list = slot.holders.to_vec();
             list.push(holder);
             let key = self.lists.insert(list) as u32;
-            slot.holders = [LISTED, key as u16, (key >> 16) as u16, 0];
+            slot.holders = [LIST_MARKER, key as u16, (key >> 16) as u16, 0];
         }
     }
 
-    /// Removes a holder from a piece, and the piece with its last holder.
+    /// Removes a holder from a piece. A piece without holders is removed.
     pub(crate) fn remove(&mut self, fingerprint: u64, holder: HolderId) {
         if let Some(at) = self.find(fingerprint) {
             self.retain_at(at, |h| h != holder);
         }
     }
 
-    /// Keeps the holders for which `keep` is true.
+    /// Keeps only the holders for which `keep` returns true.
     pub(crate) fn retain(&mut self, keep: impl Fn(u64, HolderId) -> bool) {
         let mut at = 0;
         while at < self.slots.len() {
@@ -119,14 +120,14 @@
         }
     }
 
-    /// Keeps some holders of a slot; true if the slot was freed.
+    /// Keeps only some holders of a slot. Returns whether the slot was freed.
     fn retain_at(&mut self, at: usize, keep: impl Fn(HolderId) -> bool) -> bool {
         let holders = &mut self.slots[at].holders;
         if let Some(list) = list_key(holders) {
             self.lists[list].retain(|h| keep(*h));
-            if self.lists[list].len() <= INLINE {
+            if self.lists[list].len() <= INLINE_HOLDERS {
                 let left = self.lists.remove(list);
-                *holders = [0; INLINE];
+                *holders = [0; INLINE_HOLDERS];
                 holders[..left.len()].copy_from_slice(&left);
             }
         } else {
@@ -135,7 +136,7 @@
                 .filter(|h| **h != 0 && !keep(**h))
                 .for_each(|h| *h = 0);
         }
-        let is_empty = self.slots[at].holders == [0; INLINE];
+        let is_empty = self.slots[at].holders == [0; INLINE_HOLDERS];
         if is_empty {
             self.free(at);
         }
@@ -150,14 +151,14 @@
         }
     }
 
-    /// First slot for a fingerprint.
-    fn home(&self, fingerprint: u64) -> usize {
+    /// Returns the first slot of the probe sequence of a fingerprint.
+    fn home_slot(&self, fingerprint: u64) -> usize {
         ((u128::from(fingerprint) * self.slots.len() as u128) >> 64) as usize
     }
 
-    /// How far the content of a slot is from its first slot.
+    /// Returns the distance between a slot and the home slot of its content.
     fn distance(&self, at: usize) -> usize {
-        let home = self.home(self.slots[at].fingerprint);
+        let home = self.home_slot(self.slots[at].fingerprint);
         if at >= home {
             at - home
         } else {
@@ -173,14 +174,14 @@
         if self.len == 0 {
             return None;
         }
-        let mut at = self.home(fingerprint);
+        let mut at = self.home_slot(fingerprint);
         let mut distance = 0;
         loop {
             let found = self.slots[at].fingerprint;
             if found == fingerprint {
                 return Some(at);
             }
-            if found == 0 || (distance >= CHEAP_PROBES && self.distance(at) < distance) {
+            if found == 0 || (distance >= UNCHECKED_PROBES && self.distance(at) < distance) {
                 return None;
             }
             at = self.next(at);
@@ -188,15 +189,15 @@
         }
     }
 
-    /// Puts a new piece into the table; there must be a free slot.
+    /// Inserts a new piece; there must be a free slot.
     fn place(&mut self, mut slot: Slot) {
-        let mut at = self.home(slot.fingerprint);
+        let mut at = self.home_slot(slot.fingerprint);
         let mut distance = 0;
         while self.slots[at].fingerprint != 0 {
-            let resident = self.distance(at);
-            if resident < distance {
+            let resident_distance = self.distance(at);
+            if resident_distance < distance {
                 mem::swap(&mut self.slots[at], &mut slot);
-                distance = resident;
+                distance = resident_distance;
             }
             at = self.next(at);
             distance += 1;
@@ -204,7 +205,7 @@
         self.slots[at] = slot;
     }
 
-    /// Frees a slot and moves those after it back.
+    /// Frees a slot and shifts the following ones back.
     fn free(&mut self, at: usize) {
         self.len -= 1;
         let mut hole = at;
@@ -217,7 +218,7 @@
         self.slots[hole] = Slot::default();
     }
 
-    /// Makes room for one more piece.
+    /// Grows the table if one more piece would exceed [`MAX_LOAD_PERCENT`].
     fn reserve(&mut self) {
         if (self.len + 1) * 100 <= self.slots.len() * MAX_LOAD_PERCENT {
             return;
@@ -232,6 +233,6 @@
     }
 }
 
-fn list_key(holders: &[HolderId; INLINE]) -> Option<usize> {
-    (holders[0] == LISTED).then(|| usize::from(holders[1]) | usize::from(holders[2]) << 16)
+fn list_key(holders: &[HolderId; INLINE_HOLDERS]) -> Option<usize> {
+    (holders[0] == LIST_MARKER).then(|| usize::from(holders[1]) | usize::from(holders[2]) << 16)
 }
--- a/components/directory/src/shard.rs
+++ b/components/directory/src/shard.rs
@@ -5,20 +5,20 @@
 
 use crate::piece::SHARD_BYTES;
 
-/// Shards that the pieces are divided into.
+/// Number of shards over which the pieces are divided.
 const SHARDS: u16 = 1_024;
 
-/// Entry hosts that keep each shard.
+/// Number of entry hosts that own each shard.
 const OWNERS: usize = 2;
 
-/// The shard of a piece; all pieces of a prompt are in the shard of its first piece.
+/// Returns the shard of a piece. All pieces of a prompt are in the shard of its first piece.
 pub fn shard_of(piece: &PieceId) -> u16 {
     let mut first = [0; SHARD_BYTES];
     first.copy_from_slice(&piece.as_bytes()[..SHARD_BYTES]);
     shard_of_prefix(u16::from_le_bytes(first))
 }
 
-/// The hosts that keep a shard, at most two, by rendezvous hash.
+/// Returns the hosts that own a shard, at most two, by rendezvous hashing.
 ///
 /// ```
 /// let hosts = ["entry-1", "entry-2", "entry-3"];
@@ -30,47 +30,47 @@
         .take(OWNERS)
 }
 
-/// Which shards this host keeps, given the live hosts.
+/// The shards that this host owns, given the live hosts.
 #[derive(Debug, Clone)]
 pub struct Sharding {
     /// Name of this host.
-    me: HostId,
-    /// Whether this host keeps each shard.
-    kept: Vec<bool>,
+    host: HostId,
+    /// Whether this host owns each shard.
+    owned: Vec<bool>,
 }
 
 impl Sharding {
-    /// Nothing is kept until the hosts are known.
-    pub fn new(me: HostId) -> Self {
+    /// Creates a sharding without owned shards; they follow from [`Sharding::set_hosts`].
+    pub fn new(host: HostId) -> Self {
         Self {
-            me,
-            kept: vec![false; usize::from(SHARDS)],
+            host,
+            owned: vec![false; usize::from(SHARDS)],
         }
     }
 
-    /// Takes the live hosts and returns the shards that are new to this host. What targets and stores hold of them
-    /// has to be read again, as events of the past were not kept.
+    /// Sets the live hosts and returns the shards that this host gains. The content of targets and stores has
+    /// to be read again for them, as past events were not recorded.
     pub fn set_hosts(&mut self, hosts: &BTreeSet<HostId>) -> Vec<u16> {
         let mut gained = Vec::new();
         for shard in 0..SHARDS {
-            let keeps = owners(shard, hosts.iter().map(|h| &**h)).any(|h| h == &*self.me);
-            let kept = &mut self.kept[usize::from(shard)];
-            if keeps && !*kept {
+            let is_owner = owners(shard, hosts.iter().map(|h| &**h)).any(|h| h == &*self.host);
+            let owned = &mut self.owned[usize::from(shard)];
+            if is_owner && !*owned {
                 gained.push(shard);
             }
-            *kept = keeps;
+            *owned = is_owner;
         }
         gained
     }
 
-    /// Whether this host keeps a piece.
-    pub fn keeps(&self, piece: &PieceId) -> bool {
-        self.kept[usize::from(shard_of(piece))]
+    /// Whether this host owns the shard of a piece.
+    pub fn owns(&self, piece: &PieceId) -> bool {
+        self.owned[usize::from(shard_of(piece))]
     }
 
-    /// Whether this host keeps the pieces whose names start with `prefix`.
-    pub(crate) fn keeps_shard(&self, prefix: u16) -> bool {
-        self.kept[usize::from(shard_of_prefix(prefix))]
+    /// Whether this host owns the shard of the pieces whose names start with `prefix`.
+    pub(crate) fn owns_prefix(&self, prefix: u16) -> bool {
+        self.owned[usize::from(shard_of_prefix(prefix))]
     }
 }
 
--- a/components/directory/tests/feeds.rs
+++ b/components/directory/tests/feeds.rs
@@ -38,12 +38,12 @@
     }
 }
 
-fn certain(directory: &Directory, target: CandidateKey, pieces: &[PieceId]) -> u16 {
+fn confirmed(directory: &Directory, target: CandidateKey, pieces: &[PieceId]) -> u16 {
     directory.view().copies(pieces).target(target).confirmed
 }
 
 #[test]
-fn gap_makes_entries_doubtful_until_a_snapshot() {
+fn gap_makes_entries_unconfirmed_until_a_snapshot() {
     let (mut directory, target) = (Directory::default(), target_key());
     let pieces = [piece(0), piece(1)];
     let stored = pieces.map(CacheEvent::Stored);
@@ -51,7 +51,7 @@
         directory.apply_events(target, &events(1, 0, &stored)),
         Reread::NotNeeded
     );
-    assert_eq!(certain(&directory, target, &pieces), 2);
+    assert_eq!(confirmed(&directory, target, &pieces), 2);
 
     assert_eq!(directory.apply_events(target, &events(1, 5, &[])), Reread::Needed);
     let copy = directory.view().copies(&pieces).target(target);
@@ -74,11 +74,11 @@
     let stored = [CacheEvent::Stored(piece(0))];
     let _ = directory.apply_events(target, &events(1, 0, &stored));
     let _ = directory.apply_events(target, &events(2, 0, &[]));
-    assert_eq!(certain(&directory, target, &[piece(0)]), 0);
+    assert_eq!(confirmed(&directory, target, &[piece(0)]), 0);
 }
 
 #[test]
-fn expected_pieces_are_never_certain() {
+fn expected_pieces_are_never_confirmed() {
     let (mut directory, target) = (Directory::default(), target_key());
     directory.add_expected(target, &[piece(0)]);
     let copy = directory.view().copies(&[piece(0)]).target(target);
@@ -88,12 +88,12 @@
 }
 
 #[test]
-fn unseen_eviction_is_corrected_by_use() {
+fn missed_eviction_is_corrected_by_use() {
     let (mut directory, target) = (Directory::default(), target_key());
     let pieces = [piece(0), piece(1), piece(2)];
     let _ = directory.apply_events(target, &events(1, 0, &pieces.map(CacheEvent::Stored)));
     directory.remove_uncached(target, &pieces, 1);
-    assert_eq!(certain(&directory, target, &pieces), 1);
+    assert_eq!(confirmed(&directory, target, &pieces), 1);
 }
 
 #[test]
@@ -120,12 +120,12 @@
         pieces: (0..1_000).map(piece).collect(),
     };
     let mut copies = 0;
-    for me in &fewer {
-        let (mut directory, target) = (Directory::sharded(me.clone()), target_key());
+    for host in &fewer {
+        let (mut directory, target) = (Directory::sharded(host.clone()), target_key());
         let _ = directory.set_hosts(&hosts);
         directory.apply_snapshot(target, &snapshot);
         assert_eq!(directory.set_hosts(&fewer), Reread::Needed);
-        assert_eq!(directory.doubtful_targets().count(), 1);
+        assert_eq!(directory.stale_targets().count(), 1);
         directory.apply_snapshot(target, &snapshot);
         copies += directory.footprint().pieces;
         assert_eq!(directory.set_hosts(&fewer), Reread::NotNeeded);
@@ -151,7 +151,7 @@
     }
 }
 
-/// What happens to an engine or between it and the directory.
+/// A change at the engine, or an exchange between it and the directory.
 #[derive(Debug, Clone)]
 enum Step {
     Store(u32),
@@ -175,8 +175,9 @@
 }
 
 proptest! {
-    /// After everything is read, the directory equals the engine; what it calls certain meanwhile had been stored
-    /// by the engine's running process.
+    /// Guards against a directory that diverges from an engine through lost events, restarts and sweeps.
+    /// Confirmed pieces must have been stored by the engine's current process; after a snapshot the directory
+    /// equals the engine.
     #[test]
     fn directory_follows_an_engine_through_gaps_and_restarts(steps in steps()) {
         let (mut directory, target) = (Directory::default(), target_key());
@@ -215,7 +216,7 @@
             }
             let stored_once = |n: u32| log.contains(&CacheEvent::Stored(piece(n)));
             for n in 0..12 {
-                if certain(&directory, target, &[piece(n)]) == 1 && read_incarnation == incarnation {
+                if confirmed(&directory, target, &[piece(n)]) == 1 && read_incarnation == incarnation {
                     prop_assert!(stored_once(n));
                 }
             }
@@ -223,8 +224,8 @@
         let pieces = cached.iter().map(|n| piece(*n)).collect();
         directory.apply_snapshot(target, &CacheSnapshot { incarnation, next: log.len() as u64, pieces });
         for n in 0..12 {
-            let is_certain = certain(&directory, target, &[piece(n)]) == 1;
-            prop_assert_eq!(is_certain, cached.contains(&n));
+            let is_confirmed = confirmed(&directory, target, &[piece(n)]) == 1;
+            prop_assert_eq!(is_confirmed, cached.contains(&n));
         }
     }
 }
