--- a/components/gateway/src/beliefs.rs
+++ b/components/gateway/src/cached_state.rs
@@ -7,8 +7,8 @@
 
 use crate::ports::{DeclaredRecord, Decode, Record, Snapshot, Table, UnusableRecord};
 use crate::quarantine::{CRASH_RETENTION, CRASHES_TO_QUARANTINE, Fingerprint};
-use crate::rows::{Rows, Told};
-use crate::view::{HostEntry, Named, View};
+use crate::rows::{Rows, TableUpdate};
+use crate::view::{HostEntry, View, WeightsHistory};
 use crate::{Declared, Target};
 
 /// Start of the keys under which entry hosts register themselves.
@@ -18,7 +18,7 @@
 
 /// Who told the host about a row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Learned {
+pub enum UpdateSource {
     /// The platform's store.
     Store,
     /// Another entry host.
@@ -39,7 +39,7 @@
 /// Versions only grow: a row that is older than the one held is ignored, so a late or stale answer can't bring back what
 /// has been replaced. Entries that vanish while the store was away may only have lapsed; they stay until
 /// the grace after its return has passed.
-pub struct Beliefs {
+pub struct CachedState {
     /// Reads rows.
     decode: Arc<dyn Decode>,
     /// Time for which an entry that is missing after an outage may still come back.
@@ -53,22 +53,22 @@
     /// Declared state.
     declared: Option<Arc<Declared>>,
     /// Named weights.
-    weights: HashMap<ModelId, Named>,
+    weights: HashMap<ModelId, WeightsHistory>,
     /// Usable targets by key.
     targets: BTreeMap<String, Arc<Target>>,
     /// Targets whose entry vanished around an outage.
-    doubtful: BTreeMap<String, Arc<Target>>,
+    unconfirmed: BTreeMap<String, Arc<Target>>,
     /// Entry hosts.
     hosts: BTreeMap<String, HostEntry>,
     /// Crashes by key, with the request that was aboard and when this host learned of it.
     crashes: BTreeMap<String, (Fingerprint, Monotonic)>,
     /// Whether the declared state was read before the change at hand.
-    saw_declared: bool,
+    was_declared_read: bool,
     /// Whether the view has to be published again.
     is_changed: bool,
 }
 
-impl Beliefs {
+impl CachedState {
     /// A host that knows nothing.
     pub fn new(decode: Arc<dyn Decode>, return_grace: Duration) -> Self {
         Self {
@@ -80,17 +80,17 @@
             declared: None,
             weights: HashMap::new(),
             targets: BTreeMap::new(),
-            doubtful: BTreeMap::new(),
+            unconfirmed: BTreeMap::new(),
             hosts: BTreeMap::new(),
             crashes: BTreeMap::new(),
-            saw_declared: false,
+            was_declared_read: false,
             is_changed: false,
         }
     }
 
     /// The version up to which a table is known, once it was read whole.
-    pub fn known(&self, table: Table) -> Option<u64> {
-        self.tables.get(&table)?.known()
+    pub fn complete_version(&self, table: Table) -> Option<u64> {
+        self.tables.get(&table)?.complete_version()
     }
 
     /// Version of a row that is there.
@@ -99,17 +99,17 @@
     }
 
     /// Removed rows that are remembered, to be told to other hosts.
-    pub fn removals(&self) -> usize {
-        self.tables.values().map(Rows::removals).sum()
+    pub fn tombstone_count(&self) -> usize {
+        self.tables.values().map(Rows::tombstone_count).sum()
     }
 
     /// What another host lacks that knows a table up to a version; `None` if this host can't say. Targets that may have lapsed
     /// only because the store was away are neither there nor gone, so nothing is said of targets until that is settled.
-    pub fn newer_than(&self, table: Table, version: u64) -> Option<Told> {
-        let is_unsettled = table == Table::Targets && !self.doubtful.is_empty();
-        let rows = self.tables.get(&table).filter(|_| !is_unsettled)?;
-        rows.known()?;
-        Some(rows.newer_than(version))
+    pub fn changes_since(&self, table: Table, version: u64) -> Option<TableUpdate> {
+        let has_unconfirmed = table == Table::Targets && !self.unconfirmed.is_empty();
+        let rows = self.tables.get(&table).filter(|_| !has_unconfirmed)?;
+        rows.complete_version()?;
+        Some(rows.changes_since(version))
     }
 
     /// A call to the store was answered. True if calls failed before.
@@ -144,13 +144,13 @@
         &mut self,
         table: Table,
         snapshot: Snapshot,
-        from: Learned,
+        source: UpdateSource,
         now: Monotonic,
     ) -> Vec<Report<UnusableRecord>> {
-        let news = self.tables.entry(table).or_default().replace(snapshot, now);
+        let applied = self.tables.entry(table).or_default().replace(snapshot, now);
         // A table without rows is news as well: from now on it is known.
-        self.is_changed |= news.is_some();
-        self.take_all(table, news.unwrap_or_default(), from, now)
+        self.is_changed |= applied.is_some();
+        self.apply_records(table, applied.unwrap_or_default(), source, now)
     }
 
     /// Takes rows that changed.
@@ -158,37 +158,44 @@
         &mut self,
         table: Table,
         changed: Snapshot,
-        from: Learned,
+        source: UpdateSource,
         now: Monotonic,
     ) -> Vec<Report<UnusableRecord>> {
-        let news = self.tables.entry(table).or_default().apply(changed, now);
-        self.take_all(table, news, from, now)
+        let applied = self.tables.entry(table).or_default().apply(changed, now);
+        self.apply_records(table, applied, source, now)
     }
 
     /// Takes what another host told.
-    pub fn hear(&mut self, table: Table, told: Told, now: Monotonic) -> Vec<Report<UnusableRecord>> {
-        match told {
+    pub fn apply_update(
+        &mut self,
+        table: Table,
+        update: TableUpdate,
+        now: Monotonic,
+    ) -> Vec<Report<UnusableRecord>> {
+        match update {
             // To a host that knows nothing, what is newer than nothing is the whole table.
-            Told::Newer(snapshot) if self.known(table).is_some() => {
-                self.apply(table, snapshot, Learned::Peer, now)
+            TableUpdate::Newer(snapshot) if self.complete_version(table).is_some() => {
+                self.apply(table, snapshot, UpdateSource::Peer, now)
+            }
+            TableUpdate::Newer(snapshot) | TableUpdate::All(snapshot) => {
+                self.replace(table, snapshot, UpdateSource::Peer, now)
             }
-            Told::Newer(snapshot) | Told::All(snapshot) => self.replace(table, snapshot, Learned::Peer, now),
         }
     }
 
     /// Keys of crashes that are old enough to be forgotten.
-    pub fn old_crashes(&self, now: Monotonic) -> Vec<String> {
-        let old = self
+    pub fn expired_crashes(&self, now: Monotonic) -> Vec<String> {
+        let expired = self
             .crashes
             .iter()
             .filter(|(_, (_, at))| now >= *at + CRASH_RETENTION);
-        old.map(|(key, _)| key.clone()).collect()
+        expired.map(|(key, _)| key.clone()).collect()
     }
 
     /// Removes the entries that did not come back in time after an outage, and forgets old removals.
     pub fn tick(&mut self, now: Monotonic) {
         for rows in self.tables.values_mut() {
-            rows.forget(now);
+            rows.purge_tombstones(now);
         }
         let StoreLink::Up(Some(back_at)) = self.link else {
             return;
@@ -197,8 +204,8 @@
             return;
         }
         self.link = StoreLink::Up(None);
-        if !self.doubtful.is_empty() {
-            self.doubtful.clear();
+        if !self.unconfirmed.is_empty() {
+            self.unconfirmed.clear();
             self.is_changed = true;
         }
     }
@@ -209,7 +216,7 @@
             return None;
         }
         let mut targets: HashMap<_, Vec<_>> = HashMap::new();
-        for target in self.targets.values().chain(self.doubtful.values()) {
+        for target in self.targets.values().chain(self.unconfirmed.values()) {
             if !target.is_leaving {
                 targets
                     .entry(target.service.clone())
@@ -224,92 +231,92 @@
             weights: self.weights.clone(),
             hosts: hosts.collect(),
             quarantined: self.quarantined(),
-            knows_targets: self.known(Table::Targets).is_some(),
+            has_read_targets: self.complete_version(Table::Targets).is_some(),
         })
     }
 
-    fn take_all(
+    fn apply_records(
         &mut self,
         table: Table,
-        news: Vec<Record>,
-        from: Learned,
+        applied: Vec<Record>,
+        source: UpdateSource,
         now: Monotonic,
     ) -> Vec<Report<UnusableRecord>> {
-        self.is_changed |= !news.is_empty();
-        let unusable = news
+        self.is_changed |= !applied.is_empty();
+        let unusable = applied
             .into_iter()
-            .filter_map(|record| self.take(table, record, from, now).err())
+            .filter_map(|record| self.apply_record(table, record, source, now).err())
             .collect();
-        self.saw_declared |= table == Table::Declared && self.known(table).is_some();
+        self.was_declared_read |= table == Table::Declared && self.complete_version(table).is_some();
         unusable
     }
 
-    fn take(
+    fn apply_record(
         &mut self,
         table: Table,
         record: Record,
-        from: Learned,
+        source: UpdateSource,
         now: Monotonic,
     ) -> Result<(), Report<UnusableRecord>> {
         match table {
-            Table::Declared => self.take_declared(&record, now),
-            Table::Targets => self.take_target(record, from),
-            Table::Shared => self.take_shared(&record, now),
+            Table::Declared => self.apply_declared(&record, now),
+            Table::Targets => self.apply_target(record, source),
+            Table::Shared => self.apply_shared(&record, now),
             Table::Orders => Ok(()),
         }
     }
 
-    fn take_declared(&mut self, record: &Record, now: Monotonic) -> Result<(), Report<UnusableRecord>> {
+    fn apply_declared(&mut self, record: &Record, now: Monotonic) -> Result<(), Report<UnusableRecord>> {
         if record.value.is_none() {
             return Ok(());
         }
         match self.decode.declared(record)? {
             DeclaredRecord::All(declared) => {
-                let held = self.declared.as_ref().map_or(0, |held| held.version);
-                if declared.version > held {
+                let current_version = self.declared.as_ref().map_or(0, |current| current.version);
+                if declared.version > current_version {
                     self.declared = Some(Arc::from(declared));
                 }
             }
-            DeclaredRecord::Weights(named) => {
-                let learned_at = self.saw_declared.then_some(now);
+            DeclaredRecord::Weights(weights) => {
+                let received_at = self.was_declared_read.then_some(now);
                 self.weights
-                    .entry(named.model)
+                    .entry(weights.model)
                     .or_default()
-                    .add(named.version, learned_at);
+                    .add(weights.version, received_at);
             }
             DeclaredRecord::Other => {}
         }
         Ok(())
     }
 
-    fn take_target(&mut self, record: Record, from: Learned) -> Result<(), Report<UnusableRecord>> {
+    fn apply_target(&mut self, record: Record, source: UpdateSource) -> Result<(), Report<UnusableRecord>> {
         if record.value.is_none() {
-            self.remove_target(&record.key, from);
+            self.remove_target(&record.key, source);
             return Ok(());
         }
         let decoded = self.decode.target(&record);
         if decoded.is_err() {
             self.targets.remove(&record.key);
         }
-        self.doubtful.remove(&record.key);
+        self.unconfirmed.remove(&record.key);
         self.targets.insert(record.key, Arc::new(decoded?));
         Ok(())
     }
 
     /// A host that reaches the store has resolved doubts itself; what it calls gone is gone.
-    fn remove_target(&mut self, key: &str, from: Learned) {
+    fn remove_target(&mut self, key: &str, source: UpdateSource) {
         let Some(target) = self.targets.remove(key) else {
-            if from == Learned::Peer {
-                self.doubtful.remove(key);
+            if source == UpdateSource::Peer {
+                self.unconfirmed.remove(key);
             }
             return;
         };
-        if from == Learned::Store && self.link != StoreLink::Up(None) {
-            self.doubtful.insert(key.to_owned(), target);
+        if source == UpdateSource::Store && self.link != StoreLink::Up(None) {
+            self.unconfirmed.insert(key.to_owned(), target);
         }
     }
 
-    fn take_shared(&mut self, record: &Record, now: Monotonic) -> Result<(), Report<UnusableRecord>> {
+    fn apply_shared(&mut self, record: &Record, now: Monotonic) -> Result<(), Report<UnusableRecord>> {
         if let Some(name) = record.key.strip_prefix(HOST_PREFIX) {
             let entry = record.value.as_deref();
             let entry = entry.map(serde_json::from_slice::<HostEntry>).transpose();
--- a/components/gateway/src/call.rs
+++ b/components/gateway/src/call.rs
@@ -87,7 +87,7 @@
 
 /// Load that a target reports with an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct LoadNote {
+pub struct ResponseLoad {
     /// Requests that run.
     pub running: u32,
     /// Requests that wait.
@@ -106,7 +106,7 @@
     /// Whether another instance or another weight version holds the address.
     pub is_misdirected: bool,
     /// Load of the target.
-    pub load: Option<LoadNote>,
+    pub load: Option<ResponseLoad>,
     /// Weight version that served it.
     pub weights: Option<u64>,
     /// Time for which the target keeps the connection open without use.
--- a/components/gateway/src/control/follow.rs
+++ b/components/gateway/src/control/follow.rs
@@ -4,8 +4,8 @@
 
 use error_stack::Report;
 
-use super::{Control, TICK};
-use crate::Learned;
+use super::{Control, TICK_INTERVAL};
+use crate::UpdateSource;
 use crate::jitter::jittered;
 use crate::ports::{Changes, Snapshot, StoreError, Table};
 use crate::telemetry::GaugeValues;
@@ -22,43 +22,43 @@
 /// First pause after a failed call.
 const FIRST_BACKOFF: Duration = Duration::from_millis(150);
 /// Longest pause after failed calls.
-const LONGEST_BACKOFF: Duration = Duration::from_millis(900);
+const MAX_BACKOFF: Duration = Duration::from_millis(900);
 
 /// What a call to the store brought.
-enum Heard {
+enum Fetched {
     /// A whole table.
     Whole(Snapshot),
     /// What changed.
     Changed(Snapshot),
     /// Nothing; the table has to be read again.
-    Forgotten,
+    Compacted,
 }
 
 /// Keeps the host's copy of a table up to date.
 pub(crate) async fn follow(control: Arc<Control>, table: Table) {
     let mut backoff = FIRST_BACKOFF;
-    let mut must_read = false;
+    let mut needs_full_read = false;
     loop {
-        let heard = hear(&control, table, must_read).await;
-        control.note_store(heard.is_ok());
+        let fetched = fetch(&control, table, needs_full_read).await;
+        control.record_store_call(fetched.is_ok());
         let now = control.traffic.now();
-        if heard.is_ok() && table == Table::Declared {
+        if fetched.is_ok() && table == Table::Declared {
             control.traffic.kept().record_declared(now);
         }
-        match heard {
-            Ok(Heard::Whole(snapshot)) => {
-                must_read = false;
-                control.update(|beliefs| beliefs.replace(table, snapshot, Learned::Store, now));
+        match fetched {
+            Ok(Fetched::Whole(snapshot)) => {
+                needs_full_read = false;
+                control.update(|state| state.replace(table, snapshot, UpdateSource::Store, now));
             }
-            Ok(Heard::Changed(changed)) => {
+            Ok(Fetched::Changed(changed)) => {
                 let pause = pause_after(table, &changed);
-                control.update(|beliefs| beliefs.apply(table, changed, Learned::Store, now));
+                control.update(|state| state.apply(table, changed, UpdateSource::Store, now));
                 smol::Timer::after(pause).await;
             }
-            Ok(Heard::Forgotten) => must_read = true,
+            Ok(Fetched::Compacted) => needs_full_read = true,
             Err(_) => {
                 smol::Timer::after(jittered(backoff, 0.5)).await;
-                backoff = (backoff * 2).min(LONGEST_BACKOFF);
+                backoff = (backoff * 2).min(MAX_BACKOFF);
                 continue;
             }
         }
@@ -75,35 +75,39 @@
     }
 }
 
-async fn hear(control: &Control, table: Table, must_read: bool) -> Result<Heard, Report<StoreError>> {
-    let known = control.beliefs().known(table);
+async fn fetch(
+    control: &Control,
+    table: Table,
+    needs_full_read: bool,
+) -> Result<Fetched, Report<StoreError>> {
+    let complete_version = control.cached_state().complete_version(table);
     let wait = if table == Table::Shared {
         FOLLOW_SHARED_WAIT
     } else {
         FOLLOW_WAIT
     };
-    let Some(after) = known.filter(|_| !must_read) else {
-        return Ok(Heard::Whole(control.store.read(table).await?));
+    let Some(after) = complete_version.filter(|_| !needs_full_read) else {
+        return Ok(Fetched::Whole(control.store.read(table).await?));
     };
     Ok(match control.store.follow(table, after, wait).await? {
-        Changes::Known(changed) => Heard::Changed(changed),
-        Changes::Forgotten => Heard::Forgotten,
+        Changes::Delta(changed) => Fetched::Changed(changed),
+        Changes::Compacted => Fetched::Compacted,
     })
 }
 
 /// Does what only time brings about.
 pub(crate) async fn tick(control: Arc<Control>) {
     loop {
-        smol::Timer::after(TICK).await;
+        smol::Timer::after(TICK_INTERVAL).await;
         let now = control.traffic.now();
-        control.update(|beliefs| {
-            beliefs.tick(now);
+        control.update(|state| {
+            state.tick(now);
             Vec::new()
         });
         control.traffic.remove_stale();
         let view = control.traffic.view.load();
         control.traffic.telemetry.record_gauges(&GaugeValues {
-            store_age: control.beliefs().store_age(now),
+            store_age: control.cached_state().store_age(now),
             in_flight: control.traffic.in_flight.load(Ordering::Acquire),
             declared: view.declared.as_ref().map_or(0, |declared| declared.version),
             targets: view.targets.values().map(Vec::len).sum(),
--- a/components/gateway/src/control/kept_news.rs
+++ b/components/gateway/src/control/kept_updates.rs
@@ -9,7 +9,7 @@
 use utils::{Incarnation, RegionId};
 
 use super::Control;
-use super::peers::ask;
+use super::peers::send_query;
 use super::stores::{declared_stores, region_of, watchers};
 use crate::View;
 use crate::jitter::jittered;
@@ -18,12 +18,12 @@
 /// Path on which hosts that follow stores of kept cache pass on what they hear.
 pub(super) const PATH: &str = "/kept";
 /// Pause between questions.
-const ASK_INTERVAL: Duration = Duration::from_millis(700);
+const POLL_INTERVAL: Duration = Duration::from_millis(700);
 
 /// Asks for changes of the stores of a region.
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize)]
-pub(super) struct KeptQuestion {
+pub(super) struct KeptQuery {
     /// Region of the stores.
     region: RegionId,
     /// Where the last answer ended; nothing in the first question to a host.
@@ -51,13 +51,13 @@
     /// Salts that the changes name by index.
     salts: Vec<Box<str>>,
     /// News by store.
-    stores: Vec<(Arc<str>, PackedNews)>,
+    stores: Vec<(Arc<str>, PackedUpdate)>,
 }
 
 /// [`StoreUpdate`] with salts named by index.
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize)]
-struct PackedNews {
+struct PackedUpdate {
     epoch: Option<u64>,
     age: Duration,
     is_all: bool,
@@ -73,15 +73,15 @@
 }
 
 impl Salts {
-    fn pack(&mut self, news: StoreUpdate) -> PackedNews {
-        let events = news.events.into_iter().map(|event| {
+    fn pack(&mut self, update: StoreUpdate) -> PackedUpdate {
+        let events = update.events.into_iter().map(|event| {
             let KeptEvent { key, stored } = event;
             (self.index(key.salt), key.id, stored)
         });
-        PackedNews {
-            epoch: news.epoch,
-            age: news.age,
-            is_all: news.is_all,
+        PackedUpdate {
+            epoch: update.epoch,
+            age: update.age,
+            is_all: update.is_all,
             events: events.collect(),
         }
     }
@@ -96,7 +96,7 @@
     }
 }
 
-fn unpack(packed: PackedNews, salts: &[Box<str>]) -> StoreUpdate {
+fn unpack(packed: PackedUpdate, salts: &[Box<str>]) -> StoreUpdate {
     let event = |(salt, id, stored): (u16, Box<str>, Option<u32>)| {
         let salt = salts.get(usize::from(salt))?.clone();
         Some(KeptEvent {
@@ -113,10 +113,10 @@
 }
 
 /// Answers a host that does not follow the stores of a region itself.
-pub(super) fn tell(control: &Control, question: &KeptQuestion) -> KeptAnswer {
+pub(super) fn answer(control: &Control, query: &KeptQuery) -> KeptAnswer {
     let view = control.traffic.view.load_full();
     let now = control.traffic.now();
-    let from = question.from.as_ref();
+    let from = query.from.as_ref();
     let from = from.filter(|cursor| cursor.incarnation == control.incarnation);
     let mut salts = Salts::default();
     let mut next = Cursor {
@@ -126,13 +126,13 @@
     let mut stores = Vec::new();
     let mut kept = control.traffic.kept();
     for store in declared_stores(&view) {
-        if region_of(control, &store) != Some(&question.region) {
+        if region_of(control, &store) != Some(&query.region) {
             continue;
         }
         let number = from.and_then(|cursor| cursor.numbers.get(&store.address));
-        let (news, end) = kept.store(&store.address).update_since(number.copied(), now);
+        let (update, end) = kept.store(&store.address).update_since(number.copied(), now);
         next.numbers.insert(store.address.clone(), end);
-        stores.push((store.address, salts.pack(news)));
+        stores.push((store.address, salts.pack(update)));
     }
     KeptAnswer {
         next,
@@ -143,7 +143,7 @@
 }
 
 /// Keeps up with the stores that this host does not follow itself.
-pub(crate) async fn follow_watchers(control: Arc<Control>) {
+pub(crate) async fn poll_watchers(control: Arc<Control>) {
     let cfg = ClientConfig {
         idle_per_address: 1,
         ..ClientConfig::default()
@@ -151,11 +151,11 @@
     let client = Client::new(control.ex.clone(), cfg);
     let mut sources: BTreeMap<RegionId, Source> = BTreeMap::new();
     loop {
-        smol::Timer::after(jittered(ASK_INTERVAL, 0.1)).await;
+        smol::Timer::after(jittered(POLL_INTERVAL, 0.1)).await;
         let view = control.traffic.view.load_full();
         for region in unwatched(&control, &view) {
             let source = sources.entry(region.clone()).or_default();
-            if !source.ask(&control, &client, &view, &region).await {
+            if !source.poll(&control, &client, &view, &region).await {
                 *source = Source::default();
             }
         }
@@ -166,9 +166,9 @@
 fn unwatched(control: &Control, view: &View) -> Vec<RegionId> {
     let own = &control.traffic.settings.name;
     let stores = declared_stores(view);
-    let is_foreign = |store: &crate::StoreSpec| !watchers(control, view, store).contains(own);
+    let is_unwatched = |store: &crate::StoreSpec| !watchers(control, view, store).contains(own);
     let regions = stores
-        .filter(is_foreign)
+        .filter(is_unwatched)
         .filter_map(|store| region_of(control, &store).cloned());
     let mut regions: Vec<_> = regions.collect();
     regions.sort();
@@ -185,17 +185,17 @@
 
 impl Source {
     /// Asks for changes; false if there is no answer, so that another host is asked next.
-    async fn ask(&mut self, control: &Control, client: &Client, view: &View, region: &RegionId) -> bool {
-        let Some(peer) = self.watcher.or_else(|| choose(control, view, region)) else {
+    async fn poll(&mut self, control: &Control, client: &Client, view: &View, region: &RegionId) -> bool {
+        let Some(peer) = self.watcher.or_else(|| choose_watcher(control, view, region)) else {
             return false;
         };
         self.watcher = Some(peer);
-        let question = KeptQuestion {
+        let query = KeptQuery {
             region: region.clone(),
             from: self.from.take(),
         };
-        let asked_at = control.traffic.now();
-        let Some(answer) = ask::<_, KeptAnswer>(client, peer, PATH, &question).await else {
+        let sent_at = control.traffic.now();
+        let Some(answer) = send_query::<_, KeptAnswer>(client, peer, PATH, &query).await else {
             return false;
         };
         self.from = Some(answer.next);
@@ -204,16 +204,16 @@
         if let Some(clock_ms) = answer.clock_ms {
             kept.record_clock(clock_ms, now);
         }
-        for (address, news) in answer.stores {
+        for (address, update) in answer.stores {
             kept.store(&address)
-                .apply_update(unpack(news, &answer.salts), asked_at, now);
+                .apply_update(unpack(update, &answer.salts), sent_at, now);
         }
         true
     }
 }
 
 /// A host that follows the stores of a region.
-fn choose(control: &Control, view: &View, region: &RegionId) -> Option<SocketAddr> {
+fn choose_watcher(control: &Control, view: &View, region: &RegionId) -> Option<SocketAddr> {
     let mut stores = declared_stores(view);
     let store = stores.find(|store| region_of(control, store) == Some(region))?;
     let own = &control.traffic.settings.name;
--- a/components/gateway/src/control/mod.rs
+++ b/components/gateway/src/control/mod.rs
@@ -1,7 +1,7 @@
 //! The control thread: follows the store and other hosts, publishes what the host believes, and orders weights.
 
 mod follow;
-mod kept_news;
+mod kept_updates;
 mod loads;
 mod orders;
 mod peers;
@@ -17,15 +17,15 @@
 use slog::{info, warn};
 use utils::{Incarnation, Monotonic, TargetId};
 
-use crate::Beliefs;
-use crate::daemon::Parts;
+use crate::CachedState;
+use crate::daemon::PlatformPorts;
 use crate::load::ReportedLoad;
 use crate::ports::{EngineControl, KeptStores, RecordStore, Table, UnusableRecord};
 use crate::quarantine::Crash;
 use crate::traffic::Traffic;
 
 /// Pause between looks at what only time changes.
-const TICK: Duration = Duration::from_millis(200);
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The control thread's state.
 pub(crate) struct Control {
@@ -42,22 +42,27 @@
     /// Runs the control thread's tasks.
     pub ex: Executor,
     /// What the host believes.
-    beliefs: Mutex<Beliefs>,
+    cached_state: Mutex<CachedState>,
     /// What the engines that this host asks have reported, and when.
     reports: Mutex<HashMap<TargetId, (ReportedLoad, Monotonic)>>,
 }
 
 impl Control {
-    pub(crate) fn new(traffic: Arc<Traffic>, parts: Parts, incarnation: Incarnation, ex: Executor) -> Self {
-        let beliefs = Beliefs::new(parts.decode, traffic.settings.bounds.return_grace);
+    pub(crate) fn new(
+        traffic: Arc<Traffic>,
+        ports: PlatformPorts,
+        incarnation: Incarnation,
+        ex: Executor,
+    ) -> Self {
+        let cached_state = CachedState::new(ports.decode, traffic.settings.bounds.return_grace);
         Self {
             traffic,
-            store: parts.store,
-            engines: parts.engines,
-            stores: parts.stores,
+            store: ports.store,
+            engines: ports.engines,
+            stores: ports.stores,
             incarnation,
             ex,
-            beliefs: Mutex::new(beliefs),
+            cached_state: Mutex::new(cached_state),
             reports: Mutex::default(),
         }
     }
@@ -69,16 +74,16 @@
             self.ex.spawn(follow::follow(self.clone(), Table::Targets)),
             self.ex.spawn(follow::follow(self.clone(), Table::Shared)),
             self.ex.spawn(follow::tick(self.clone())),
-            self.ex.spawn(peers::ask_for_changes(self.clone())),
+            self.ex.spawn(peers::poll_peers(self.clone())),
             self.ex.spawn(register::register(self.clone())),
             self.ex.spawn(register::report_crashes(self.clone(), crashed)),
-            self.ex.spawn(register::forget_crashes(self.clone())),
-            self.ex.spawn(register::remove_silent_hosts(self.clone())),
-            self.ex.spawn(orders::give_orders(self.clone())),
+            self.ex.spawn(register::remove_expired_crashes(self.clone())),
+            self.ex.spawn(register::remove_unreachable_hosts(self.clone())),
+            self.ex.spawn(orders::run_orders(self.clone())),
             self.ex.spawn(stores::follow_stores(self.clone())),
-            self.ex.spawn(kept_news::follow_watchers(self.clone())),
-            self.ex.spawn(loads::watch_engines(self.clone())),
-            self.ex.spawn(loads::follow_reports(self.clone())),
+            self.ex.spawn(kept_updates::poll_watchers(self.clone())),
+            self.ex.spawn(loads::poll_engines(self.clone())),
+            self.ex.spawn(loads::poll_reporters(self.clone())),
         ];
         let server = peers::serve(self.clone(), stop.clone());
         server.await;
@@ -89,8 +94,8 @@
     }
 
     /// What the host believes.
-    pub(crate) fn beliefs(&self) -> MutexGuard<'_, Beliefs> {
-        self.beliefs.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn cached_state(&self) -> MutexGuard<'_, CachedState> {
+        self.cached_state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// What the engines that this host asks have reported.
@@ -101,13 +106,13 @@
     /// Changes what the host believes and publishes it.
     pub(crate) fn update(
         &self,
-        change: impl FnOnce(&mut Beliefs) -> Vec<error_stack::Report<UnusableRecord>>,
+        change: impl FnOnce(&mut CachedState) -> Vec<error_stack::Report<UnusableRecord>>,
     ) {
-        let mut beliefs = self.beliefs();
-        for unusable in change(&mut beliefs) {
+        let mut state = self.cached_state();
+        for unusable in change(&mut state) {
             warn!(self.traffic.log, "unusable row"; events::RECORD_UNUSABLE, "error" => format!("{unusable:?}"));
         }
-        let Some(view) = beliefs.publish() else { return };
+        let Some(view) = state.publish() else { return };
         info!(self.traffic.log, "beliefs changed"; events::BELIEFS_CHANGED,
             "declared" => view.declared.as_ref().map_or(0, |d| d.version),
             "targets" => view.targets.values().map(Vec::len).sum::<usize>(),
@@ -116,14 +121,14 @@
     }
 
     /// A call to the store was answered, or failed.
-    pub(crate) fn note_store(&self, is_answered: bool) {
+    pub(crate) fn record_store_call(&self, is_answered: bool) {
         let log = &self.traffic.log;
         let now = self.traffic.now();
         self.traffic.telemetry.store_call(is_answered);
-        if is_answered && self.beliefs().store_answered(now) {
+        if is_answered && self.cached_state().store_answered(now) {
             info!(log, "the store answers again"; events::STORE_BACK);
         }
-        if !is_answered && self.beliefs().store_failed() {
+        if !is_answered && self.cached_state().store_failed() {
             warn!(log, "the store does not answer"; events::STORE_LOST);
         }
     }
--- a/components/gateway/src/control/orders.rs
+++ b/components/gateway/src/control/orders.rs
@@ -8,9 +8,9 @@
 use slog::info;
 
 use super::Control;
-use crate::ports::{Record, RecordWrite, RecordWritten, Running, StoreError, Table, WeightsOrder};
-use crate::weights::{LoadOrder, Rollout, RolloutInput, is_overdue};
-use crate::{NamedWeights, Target};
+use crate::ports::{Record, RecordWrite, RecordWritten, RunningRequests, StoreError, Table, WeightsOrder};
+use crate::weights::{Rollout, RolloutAction, RolloutInput, is_overdue};
+use crate::{DesiredWeights, Target};
 
 /// Key of the lease's row.
 const LEASE_KEY: &str = "lease";
@@ -19,15 +19,15 @@
 /// Orders stop this long before the lease lapses.
 const LEASE_MARGIN: Duration = Duration::from_millis(300);
 /// Most loads that the row holds.
-const MOST_LOADS: usize = 64;
+const MAX_LOADS: usize = 64;
 /// Hosts that are prepared to hold the lease.
 const CONTENDERS: usize = 3;
 /// Pause between steps of the holder.
-const HOLDER_STEP: Duration = Duration::from_millis(100);
+const HOLDER_INTERVAL: Duration = Duration::from_millis(100);
 /// Pause between looks of a host that does not hold the lease.
-const STANDBY_STEP: Duration = Duration::from_millis(700);
+const STANDBY_INTERVAL: Duration = Duration::from_millis(700);
 /// What becomes of requests that run at an engine that gets new weights.
-const RUNNING: Running = Running::GoOn;
+const RUNNING_REQUESTS: RunningRequests = RunningRequests::Continue;
 /// Names what the contenders are ranked for.
 const DUTY: &[u8] = b"orders";
 
@@ -42,7 +42,7 @@
 }
 
 /// Takes part in the lease for orders; gives orders while it is held.
-pub(crate) async fn give_orders(control: Arc<Control>) {
+pub(crate) async fn run_orders(control: Arc<Control>) {
     let settings = &control.traffic.settings;
     let own = Identity {
         id: settings.name.clone(),
@@ -53,7 +53,7 @@
         length: LEASE_LENGTH,
         margin: LEASE_MARGIN,
         flight: settings.bounds.order_lease,
-        limit: MOST_LOADS,
+        limit: MAX_LOADS,
     };
     let orders = Arc::new(Orders {
         control,
@@ -63,9 +63,9 @@
     loop {
         orders.step().await;
         let pause = if orders.is_holder() {
-            HOLDER_STEP
+            HOLDER_INTERVAL
         } else {
-            STANDBY_STEP
+            STANDBY_INTERVAL
         };
         smol::Timer::after(pause).await;
     }
@@ -129,7 +129,7 @@
 
     async fn read_row(&self) -> Result<Option<(LeaseRow, u64)>, Report<StoreError>> {
         let snapshot = self.control.store.read(Table::Orders).await;
-        self.control.note_store(snapshot.is_ok());
+        self.control.record_store_call(snapshot.is_ok());
         let row = |record: Record| {
             let row = serde_json::from_slice(record.value.as_deref()?).ok()?;
             Some((row, record.version))
@@ -163,17 +163,17 @@
         let mut calls = Vec::new();
         for order in orders {
             match order {
-                LoadOrder::Start(slot) => {
+                RolloutAction::Start(slot) => {
                     self.lease().step(LeaseInput::Start(slot), now);
                 }
-                LoadOrder::End(target) => {
+                RolloutAction::End(target) => {
                     self.lease().step(LeaseInput::End(target), now);
                 }
-                LoadOrder::Query(target) => {
+                RolloutAction::Query(target) => {
                     let orders = self.clone();
                     calls.push(self.control.ex.spawn(async move { orders.query(&target).await }));
                 }
-                LoadOrder::Load {
+                RolloutAction::Load {
                     target,
                     weights,
                     revision,
@@ -193,12 +193,12 @@
         let report = self.control.engines.report(target.address).await;
         let input = match report {
             Ok(report) if report.born_ms == target.born_ms => RolloutInput::Reported(report),
-            _ => RolloutInput::Silent,
+            _ => RolloutInput::NoReport,
         };
-        self.rollout().take(target, input);
+        self.rollout().handle(target, input);
     }
 
-    async fn load(&self, target: &Target, weights: NamedWeights, revision: u64) {
+    async fn load(&self, target: &Target, weights: DesiredWeights, revision: u64) {
         let is_fenced = self.control.traffic.settings.bounds.is_fenced;
         // Right before the send: a process that stood still must not give an order with a lapsed lease.
         let epoch = {
@@ -206,7 +206,7 @@
             self.lease().epoch_for(&target.run, is_fenced, now)
         };
         let Some(epoch) = epoch else {
-            self.rollout().take(
+            self.rollout().handle(
                 target,
                 RolloutInput::Ordered(Some(crate::ports::OrderAnswer::Conflict)),
             );
@@ -216,7 +216,7 @@
             instance: target.instance.clone(),
             model: weights.model.clone(),
             version: weights.version,
-            running: RUNNING,
+            running: RUNNING_REQUESTS,
             holder: self.control.traffic.settings.name.to_string(),
             epoch,
             revision,
@@ -225,6 +225,6 @@
         info!(self.control.traffic.log, "weights ordered"; events::WEIGHTS_ORDERED,
             "target" => &target.instance, "version" => weights.version, "epoch" => epoch,
             "revision" => revision, "answer" => format!("{:?}", answer.as_ref().ok()));
-        self.rollout().take(target, RolloutInput::Ordered(answer.ok()));
+        self.rollout().handle(target, RolloutInput::Ordered(answer.ok()));
     }
 }
--- a/components/gateway/src/control/peers.rs
+++ b/components/gateway/src/control/peers.rs
@@ -15,26 +15,26 @@
 use serde::{Deserialize, Serialize};
 use slog::{info, warn};
 
-use super::{Control, kept_news, loads};
-use crate::Told;
+use super::{Control, kept_updates, loads};
+use crate::TableUpdate;
 use crate::jitter::jittered;
 use crate::ports::Table;
 
 /// Path on which hosts tell each other what changed.
 const CHANGES_PATH: &str = "/changes";
 /// Pause between questions while the store does not answer.
-const ASK_INTERVAL: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Longest time for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
 /// Longest message, in bytes.
-const MAX_MESSAGE: usize = 16 << 20;
+const MAX_MESSAGE_BYTES: usize = 16 << 20;
 /// Tables that hosts pass on.
-const PASSED_ON: [Table; 3] = [Table::Declared, Table::Targets, Table::Shared];
+const REPLICATED_TABLES: [Table; 3] = [Table::Declared, Table::Targets, Table::Shared];
 
 /// What a host knows already.
 #[derive(Debug, Clone, Default)]
 #[derive(Serialize, Deserialize)]
-struct Question {
+struct ChangesQuery {
     /// Versions of the tables.
     known: Vec<(Table, u64)>,
 }
@@ -42,9 +42,9 @@
 /// What another host knows beyond that.
 #[derive(Debug, Clone, Default)]
 #[derive(Serialize, Deserialize)]
-struct Answer {
+struct ChangesAnswer {
     /// What each table has that the other host lacks; tables of which this host can't speak are left out.
-    changes: Vec<(Table, Told)>,
+    changes: Vec<(Table, TableUpdate)>,
 }
 
 /// Answers other hosts until `stop` resolves.
@@ -61,19 +61,22 @@
     let ex = control.ex.clone();
     let handler: Handler = Arc::new(move |req| {
         let control = control.clone();
-        let answer: HandlerFuture = Box::pin(async move { tell(&control, req).await });
+        let answer: HandlerFuture = Box::pin(async move { answer(&control, req).await });
         answer
     });
     server.run(ex, handler, stop).await;
 }
 
-async fn tell(control: &Control, req: Request<Incoming>) -> Response<Body> {
+async fn answer(control: &Control, req: Request<Incoming>) -> Response<Body> {
     let path = req.uri().path().to_owned();
-    let body = read_limited(req.into_body(), MAX_MESSAGE).await;
+    let body = read_limited(req.into_body(), MAX_MESSAGE_BYTES).await;
     let answer = body.ok().and_then(|bytes| match path.as_str() {
-        CHANGES_PATH => pack(&tell_changes(control, &postcard::from_bytes(&bytes).ok()?)),
-        kept_news::PATH => pack(&kept_news::tell(control, &postcard::from_bytes(&bytes).ok()?)),
-        loads::PATH => pack(&loads::tell(control, &postcard::from_bytes(&bytes).ok()?)),
+        CHANGES_PATH => pack(&answer_changes(control, &postcard::from_bytes(&bytes).ok()?)),
+        kept_updates::PATH => pack(&kept_updates::answer(
+            control,
+            &postcard::from_bytes(&bytes).ok()?,
+        )),
+        loads::PATH => pack(&loads::answer(control, &postcard::from_bytes(&bytes).ok()?)),
         _ => None,
     });
     let Some(answer) = answer else {
@@ -88,22 +91,22 @@
     postcard::to_allocvec(message).ok()
 }
 
-fn tell_changes(control: &Control, question: &Question) -> Answer {
-    let beliefs = control.beliefs();
-    let known = |table: Table| {
-        let found = question.known.iter().find(|(t, _)| *t == table);
+fn answer_changes(control: &Control, query: &ChangesQuery) -> ChangesAnswer {
+    let state = control.cached_state();
+    let peer_version = |table: Table| {
+        let found = query.known.iter().find(|(t, _)| *t == table);
         found.map_or(0, |(_, version)| *version)
     };
-    let changes = PASSED_ON
+    let changes = REPLICATED_TABLES
         .into_iter()
-        .filter_map(|table| Some((table, beliefs.newer_than(table, known(table))?)));
-    Answer {
+        .filter_map(|table| Some((table, state.changes_since(table, peer_version(table))?)));
+    ChangesAnswer {
         changes: changes.collect(),
     }
 }
 
 /// Asks other hosts for changes while the store does not answer.
-pub(crate) async fn ask_for_changes(control: Arc<Control>) {
+pub(crate) async fn poll_peers(control: Arc<Control>) {
     let cfg = ClientConfig {
         response_timeout: ANSWER_TIMEOUT,
         idle_per_address: 1,
@@ -111,20 +114,21 @@
     };
     let client = Client::new(control.ex.clone(), cfg);
     loop {
-        smol::Timer::after(jittered(ASK_INTERVAL, 0.2)).await;
-        let is_ignorant = !control.traffic.view.load().is_able();
-        if !control.beliefs().is_store_down() && !is_ignorant {
+        smol::Timer::after(jittered(POLL_INTERVAL, 0.2)).await;
+        let lacks_state = !control.traffic.view.load().can_serve();
+        if !control.cached_state().is_store_down() && !lacks_state {
             continue;
         }
         let Some(peer) = choose_peer(&control) else {
             continue;
         };
-        let known = |table: Table| (table, control.beliefs().known(table).unwrap_or(0));
-        let question = Question {
-            known: PASSED_ON.map(known).into(),
+        let held_version =
+            |table: Table| (table, control.cached_state().complete_version(table).unwrap_or(0));
+        let query = ChangesQuery {
+            known: REPLICATED_TABLES.map(held_version).into(),
         };
-        if let Some(answer) = ask(&client, peer, CHANGES_PATH, &question).await {
-            learn(&control, peer, answer);
+        if let Some(answer) = send_query(&client, peer, CHANGES_PATH, &query).await {
+            apply_answer(&control, peer, answer);
         }
     }
 }
@@ -140,21 +144,21 @@
 }
 
 /// Sends a host a question; `None` if no answer comes in time, or none that can be read.
-pub(super) async fn ask<Q: Serialize, A: DeserializeOwned>(
+pub(super) async fn send_query<Q: Serialize, A: DeserializeOwned>(
     client: &Client,
     peer: SocketAddr,
     path: &str,
-    question: &Q,
+    query: &Q,
 ) -> Option<A> {
     let req = Request::builder()
         .method(Method::POST)
         .uri(path)
         .header("host", peer.to_string())
-        .body(full_body(pack(question)?))
+        .body(full_body(pack(query)?))
         .ok()?;
     let answer = async {
         let res = client.send(peer, req).await.ok()?;
-        let bytes = read_limited(res.into_body(), MAX_MESSAGE).await.ok()?;
+        let bytes = read_limited(res.into_body(), MAX_MESSAGE_BYTES).await.ok()?;
         postcard::from_bytes(&bytes).ok()
     };
     let late = async {
@@ -164,13 +168,13 @@
     answer.or(late).await
 }
 
-fn learn(control: &Control, peer: SocketAddr, answer: Answer) {
+fn apply_answer(control: &Control, peer: SocketAddr, answer: ChangesAnswer) {
     let now = control.traffic.now();
-    let rows: usize = answer.changes.iter().map(|(_, told)| told.rows()).sum();
+    let rows: usize = answer.changes.iter().map(|(_, update)| update.row_count()).sum();
     if rows > 0 {
         info!(control.traffic.log, "another host told"; events::PEER_READ, "peer" => %peer, "rows" => rows);
     }
-    for (table, told) in answer.changes {
-        control.update(|beliefs| beliefs.hear(table, told, now));
+    for (table, update) in answer.changes {
+        control.update(|state| state.apply_update(table, update, now));
     }
 }
--- a/components/gateway/src/control/register.rs
+++ b/components/gateway/src/control/register.rs
@@ -9,7 +9,7 @@
 use smol::net::TcpStream;
 
 use super::Control;
-use crate::beliefs::{CRASH_PREFIX, HOST_PREFIX};
+use crate::cached_state::{CRASH_PREFIX, HOST_PREFIX};
 use crate::jitter::jittered;
 use crate::ports::{RecordWrite, Table};
 use crate::quarantine::Crash;
@@ -18,19 +18,19 @@
 /// Pause between looks whether the host is still registered.
 const REGISTER_INTERVAL: Duration = Duration::from_secs(4);
 /// Pause between questions to random other hosts.
-const SILENT_INTERVAL: Duration = Duration::from_secs(15);
+const PEER_CHECK_INTERVAL: Duration = Duration::from_secs(15);
 /// Pause before a host that did not answer is asked again.
-const SECOND_LOOK: Duration = Duration::from_secs(4);
+const RECHECK_DELAY: Duration = Duration::from_secs(4);
 /// Pause before a failed write is tried again.
-const RETRY_PAUSE: Duration = Duration::from_millis(700);
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(700);
 /// Longest time that a leaving host spends on its entry.
 const DEREGISTER_TIMEOUT: Duration = Duration::from_millis(300);
 /// Longest time for a target or host that is up to take a connection.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 /// Pause between looks for old crashes.
-const FORGET_INTERVAL: Duration = Duration::from_secs(15);
+const CRASH_CLEANUP_INTERVAL: Duration = Duration::from_secs(15);
 /// Tries to tell the others of a request that crashes targets.
-const CRASH_TRIES: usize = 5;
+const CRASH_WRITE_ATTEMPTS: usize = 5;
 
 /// Keeps the host registered, so that others can ask it and share limits with it.
 pub(crate) async fn register(control: Arc<Control>) {
@@ -44,12 +44,12 @@
     loop {
         let is_listed = control.traffic.view.load().hosts.get(&entry.name) == Some(&entry);
         if !is_listed {
-            let write = put(&control, Some(value.clone()));
+            let write = host_entry_write(&control, Some(value.clone()));
             let is_written = control.store.write(write).await.is_ok();
             smol::Timer::after(if is_written {
                 REGISTER_INTERVAL
             } else {
-                RETRY_PAUSE
+                WRITE_RETRY_DELAY
             })
             .await;
             continue;
@@ -60,9 +60,9 @@
 
 /// Removes the entries of hosts that are gone for good. Each host asks a random other one now and then, so that every host is
 /// asked about once an interval however many there are. A host that was only cut off registers again.
-pub(crate) async fn remove_silent_hosts(control: Arc<Control>) {
+pub(crate) async fn remove_unreachable_hosts(control: Arc<Control>) {
     loop {
-        smol::Timer::after(jittered(SILENT_INTERVAL, 0.3)).await;
+        smol::Timer::after(jittered(PEER_CHECK_INTERVAL, 0.3)).await;
         let view = control.traffic.view.load_full();
         let own = &control.traffic.settings.name;
         let others: Vec<_> = view.hosts.values().filter(|host| host.name != *own).collect();
@@ -70,17 +70,17 @@
             continue;
         };
         let key = format!("{HOST_PREFIX}{}", host.name);
-        let version = control.beliefs().version_of(Table::Shared, &key);
-        if is_up(host.peers).await {
+        let version = control.cached_state().version_of(Table::Shared, &key);
+        if is_reachable(host.peers).await {
             continue;
         }
-        smol::Timer::after(SECOND_LOOK).await;
-        if is_up(host.peers).await {
+        smol::Timer::after(RECHECK_DELAY).await;
+        if is_reachable(host.peers).await {
             continue;
         }
         let remove = RecordWrite {
             expect: version,
-            ..shared(key, None)
+            ..shared_write(key, None)
         };
         // Refused if the host has registered again meanwhile; another host tries if the store is away.
         let is_removed = control.store.write(remove).await.is_ok();
@@ -93,7 +93,7 @@
 pub(crate) async fn deregister(control: &Control) {
     let remove = async {
         // A leaving host has nobody to tell; its entry only makes the others' shares smaller.
-        let _ = control.store.write(put(control, None)).await;
+        let _ = control.store.write(host_entry_write(control, None)).await;
     };
     let late = async {
         smol::Timer::after(DEREGISTER_TIMEOUT).await;
@@ -101,15 +101,15 @@
     remove.or(late).await;
 }
 
-fn put(control: &Control, value: Option<Vec<u8>>) -> RecordWrite {
-    shared(format!("{HOST_PREFIX}{}", control.traffic.settings.name), value)
+fn host_entry_write(control: &Control, value: Option<Vec<u8>>) -> RecordWrite {
+    shared_write(format!("{HOST_PREFIX}{}", control.traffic.settings.name), value)
 }
 
 /// Tells all hosts of targets that went down with a request aboard.
 pub(crate) async fn report_crashes(control: Arc<Control>, crashed: async_channel::Receiver<Crash>) {
     while let Ok(crash) = crashed.recv().await {
         // A connection that broke off is no crash while its target still takes others.
-        if crash.count == 1 && is_up(crash.address).await {
+        if crash.count == 1 && is_reachable(crash.address).await {
             continue;
         }
         let key = format!(
@@ -118,22 +118,22 @@
             control.traffic.settings.name,
             crash.count
         );
-        for _ in 0..CRASH_TRIES {
+        for _ in 0..CRASH_WRITE_ATTEMPTS {
             if control
                 .store
-                .write(shared(key.clone(), Some(Vec::new())))
+                .write(shared_write(key.clone(), Some(Vec::new())))
                 .await
                 .is_ok()
             {
                 break;
             }
-            smol::Timer::after(RETRY_PAUSE).await;
+            smol::Timer::after(WRITE_RETRY_DELAY).await;
         }
     }
 }
 
 /// Whether a target or host takes connections.
-async fn is_up(address: SocketAddr) -> bool {
+async fn is_reachable(address: SocketAddr) -> bool {
     let connect = async { TcpStream::connect(address).await.is_ok() };
     let late = async {
         smol::Timer::after(PROBE_TIMEOUT).await;
@@ -143,16 +143,16 @@
 }
 
 /// Removes old crashes from the shared table, each by one host.
-pub(crate) async fn forget_crashes(control: Arc<Control>) {
+pub(crate) async fn remove_expired_crashes(control: Arc<Control>) {
     loop {
-        smol::Timer::after(FORGET_INTERVAL).await;
+        smol::Timer::after(CRASH_CLEANUP_INTERVAL).await;
         let now = control.traffic.now();
         let view = control.traffic.view.load_full();
         let own = &*control.traffic.settings.name;
-        let old = control.beliefs().old_crashes(now);
-        for key in old {
-            let is_mine = view.owns(key.as_bytes(), own, 1);
-            if is_mine && control.store.write(shared(key, None)).await.is_err() {
+        let expired = control.cached_state().expired_crashes(now);
+        for key in expired {
+            let is_owner = view.owns(key.as_bytes(), own, 1);
+            if is_owner && control.store.write(shared_write(key, None)).await.is_err() {
                 break;
             }
         }
@@ -160,7 +160,7 @@
 }
 
 /// A write to the shared table.
-fn shared(key: String, value: Option<Vec<u8>>) -> RecordWrite {
+fn shared_write(key: String, value: Option<Vec<u8>>) -> RecordWrite {
     RecordWrite {
         table: Table::Shared,
         key,
--- a/components/gateway/src/daemon.rs
+++ b/components/gateway/src/daemon.rs
@@ -20,27 +20,27 @@
 use crate::{GatewayError, HostSettings};
 
 /// Longest silence of a caller's connection.
-const CALLER_IDLE: Duration = Duration::from_secs(16);
+const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(16);
 /// Largest head of a request, in bytes.
 const MAX_HEAD_BYTES: usize = 32 << 10;
 /// Most headers of a request.
 const MAX_HEADERS: usize = 100;
 /// Fingerprints that wait to be told to other hosts.
-const CRASH_QUEUE: usize = 256;
+const CRASH_QUEUE_CAPACITY: usize = 256;
 /// Part of the grace in which the balancer notices that a host is not ready any more, and in which any request is still taken.
 /// After it only those are taken that end before the process does.
-const TAKING_PART: f64 = 0.33;
+const ACCEPT_SHARE: f64 = 0.33;
 /// Part of the grace that is left for ending the process.
-const ENDING: Duration = Duration::from_millis(250);
+const EXIT_RESERVE: Duration = Duration::from_millis(250);
 /// Part of the grace that is left for closing connections.
-const CLOSING: Duration = Duration::from_millis(150);
+const CLOSE_RESERVE: Duration = Duration::from_millis(150);
 /// Path of the metrics, beside the balancer's question.
 const METRICS_PATH: &str = "/metrics";
 /// Pause between looks at a leaving host's work.
-const DRAIN_STEP: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What a platform brings to a daemon.
-pub struct Parts {
+pub struct PlatformPorts {
     /// The store, built on the executor of the control thread.
     pub store: Arc<dyn RecordStore>,
     /// Engines, as the store.
@@ -58,7 +58,7 @@
     /// State of the traffic thread.
     traffic: Arc<Traffic>,
     /// Dropped to close the connections that callers have kept, once their requests are finished.
-    stop_kept: async_channel::Sender<()>,
+    stop_keep_alive: async_channel::Sender<()>,
     /// Dropped to end the traffic thread.
     stop_traffic: async_channel::Sender<()>,
     /// Dropped to end the traffic thread without finishing open work.
@@ -78,7 +78,7 @@
     /// [`GatewayError::Listen`] for an address that is taken; nothing runs then.
     pub fn start(
         settings: HostSettings,
-        parts: impl FnOnce(&Executor) -> Parts,
+        ports: impl FnOnce(&Executor) -> PlatformPorts,
         log: Logger,
     ) -> Result<Self, Report<GatewayError>> {
         let callers = bind(settings.callers)?;
@@ -87,13 +87,13 @@
         let incarnation = since_epoch(clock.wall()).as_nanos() as u64;
         let control_ex: Executor = Arc::new(smol::Executor::new());
         let traffic_ex: Executor = Arc::new(smol::Executor::new());
-        let parts = parts(&control_ex);
-        let (crashed_tx, crashed) = async_channel::bounded(CRASH_QUEUE);
-        let heads = parts.heads.clone();
+        let ports = ports(&control_ex);
+        let (crashed_tx, crashed) = async_channel::bounded(CRASH_QUEUE_CAPACITY);
+        let heads = ports.heads.clone();
         let traffic = Traffic::new(settings, clock, heads, traffic_ex, log, crashed_tx);
         let traffic = Arc::new(traffic);
-        let control = Control::new(traffic.clone(), parts, incarnation, control_ex.clone());
-        let (stop_kept, kept_stopped) = shutdown_channel();
+        let control = Control::new(traffic.clone(), ports, incarnation, control_ex.clone());
+        let (stop_keep_alive, keep_alive_stopped) = shutdown_channel();
         let (stop_traffic, traffic_stopped) = shutdown_channel();
         let (stop_control, control_stopped) = shutdown_channel();
         let control = Arc::new(control);
@@ -103,8 +103,8 @@
         })?;
         let traffic_thread = spawn("traffic", {
             let traffic = traffic.clone();
-            let signals = Signals {
-                stop_kept: kept_stopped,
+            let signals = ShutdownSignals {
+                stop_keep_alive: keep_alive_stopped,
                 stop: traffic_stopped,
                 abort: traffic_aborted,
             };
@@ -114,7 +114,7 @@
             "host" => &*traffic.settings.name, "callers" => %traffic.settings.callers);
         Ok(Self {
             traffic,
-            stop_kept,
+            stop_keep_alive,
             stop_traffic,
             abort_traffic,
             stop_control,
@@ -134,18 +134,18 @@
         info!(log, "draining"; events::DRAIN_STARTED, "open" => traffic.in_flight.load(Ordering::Acquire));
         let grace = traffic.settings.bounds.shutdown_grace;
         let started = traffic.now();
-        let ends_at = started + grace.saturating_sub(ENDING);
-        let limited_from = started + grace.mul_f64(TAKING_PART);
+        let ends_at = started + grace.saturating_sub(EXIT_RESERVE);
+        let limited_from = started + grace.mul_f64(ACCEPT_SHARE);
         traffic.begin_drain(DrainSchedule {
             limited_from,
             ends_at,
         });
         std::thread::sleep(limited_from.saturating_sub(traffic.now()));
-        drop(self.stop_kept);
-        wait_for_work(traffic, ends_at);
+        drop(self.stop_keep_alive);
+        wait_until_idle(traffic, ends_at);
         drop(self.stop_traffic);
         while !self.traffic_thread.is_finished() && traffic.now() < ends_at {
-            std::thread::sleep(DRAIN_STEP);
+            std::thread::sleep(DRAIN_POLL_INTERVAL);
         }
         drop(self.abort_traffic);
         self.traffic_thread.join().map_err(|_| GatewayError::Panicked)?;
@@ -157,24 +157,29 @@
 }
 
 /// Waits until nothing is open, at most until the last moment to close connections in order.
-fn wait_for_work(traffic: &Traffic, ends_at: Monotonic) {
-    let last = ends_at.saturating_sub(CLOSING);
+fn wait_until_idle(traffic: &Traffic, ends_at: Monotonic) {
+    let last = ends_at.saturating_sub(CLOSE_RESERVE);
     while traffic.now() < last && traffic.in_flight.load(Ordering::Acquire) > 0 {
-        std::thread::sleep(DRAIN_STEP);
+        std::thread::sleep(DRAIN_POLL_INTERVAL);
     }
 }
 
 /// What ends the traffic thread, each resolved when its sender is dropped.
-struct Signals {
+struct ShutdownSignals {
     /// Connections that callers have kept are closed; new ones are still taken, as a balancer without another host sends them.
-    stop_kept: Shutdown,
+    stop_keep_alive: Shutdown,
     /// Nothing is taken any more; what is open is finished.
     stop: Shutdown,
     /// What is open is cut.
     abort: Shutdown,
 }
 
-fn run_traffic(traffic: Arc<Traffic>, callers: TcpListener, readiness: TcpListener, signals: Signals) {
+fn run_traffic(
+    traffic: Arc<Traffic>,
+    callers: TcpListener,
+    readiness: TcpListener,
+    signals: ShutdownSignals,
+) {
     let log = traffic.log.clone();
     if let Err(e) = serve_callers(traffic, callers, readiness, signals) {
         slog::error!(log, "can not listen"; events::CONNECTION_FAILED, "error" => %e);
@@ -185,35 +190,36 @@
     traffic: Arc<Traffic>,
     callers: TcpListener,
     readiness: TcpListener,
-    signals: Signals,
+    signals: ShutdownSignals,
 ) -> Result<(), Report<HttpError>> {
     let ex = traffic.ex.clone();
     let cfg = ServerConfig {
-        header_timeout: CALLER_IDLE,
+        header_timeout: CALLER_IDLE_TIMEOUT,
         max_headers: MAX_HEADERS,
         max_head_bytes: MAX_HEAD_BYTES,
         tls: None,
     };
-    let late = callers.try_clone().change_context(HttpError::Listen)?;
+    let late_callers = callers.try_clone().change_context(HttpError::Listen)?;
     let callers = Server::from_std(callers, cfg.clone())?;
-    let late = Server::from_std(late, cfg.clone())?;
+    let late_callers = Server::from_std(late_callers, cfg.clone())?;
     let readiness = Server::from_std(readiness, cfg)?;
     let answer = handler(traffic.clone(), |cx, req| Box::pin(serve(cx, req)));
     let ready = handler(traffic, |cx, req| {
         Box::pin(async move { readiness_of(&cx, req.uri().path()) })
     });
-    let Signals {
-        stop_kept,
+    let ShutdownSignals {
+        stop_keep_alive,
         stop,
         abort,
     } = signals;
     let run = async {
         let readiness = ex.spawn(readiness.run(ex.clone(), ready, stop.clone()));
-        let kept = callers.run_or_abort(ex.clone(), answer.clone(), stop_kept.clone(), abort.clone());
-        let kept = ex.spawn(kept);
-        let _ = stop_kept.recv().await;
-        late.run_or_abort(ex.clone(), answer, stop, abort).await;
-        kept.await;
+        let keep_alive =
+            callers.run_or_abort(ex.clone(), answer.clone(), stop_keep_alive.clone(), abort.clone());
+        let keep_alive = ex.spawn(keep_alive);
+        let _ = stop_keep_alive.recv().await;
+        late_callers.run_or_abort(ex.clone(), answer, stop, abort).await;
+        keep_alive.await;
         readiness.await;
     };
     smol::block_on(ex.run(run));
--- a/components/gateway/src/declared.rs
+++ b/components/gateway/src/declared.rs
@@ -6,7 +6,7 @@
 
 /// What may be repeated on a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetrySafety {
     /// A request may run more than once.
     Idempotent,
     /// A request may run at most once.
@@ -18,7 +18,7 @@
     },
 }
 
-impl Repeat {
+impl RetrySafety {
     /// Whether a request that may have run may be sent again.
     pub fn is_idempotent(self) -> bool {
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
@@ -49,7 +49,7 @@
     /// Start of the path.
     pub prefix: String,
     /// What may be repeated.
-    pub repeat: Repeat,
+    pub retry_safety: RetrySafety,
     /// Longest time until the final answer.
     pub timeout: Duration,
     /// Time within which an answer is worth most.
@@ -85,7 +85,7 @@
     /// Tokens that it holds.
     pub capacity_tokens: u64,
     /// Questions for changes that it answers at once.
-    pub questions: u32,
+    pub concurrent_polls: u32,
 }
 
 /// A service.
@@ -121,7 +121,7 @@
 
 /// Weights that the operator has named for a model.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct NamedWeights {
+pub struct DesiredWeights {
     /// The model.
     pub model: ModelId,
     /// Version that its engines should have.
--- a/components/gateway/src/host.rs
+++ b/components/gateway/src/host.rs
@@ -56,22 +56,22 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Distance {
     /// The same failure domain.
-    Domain,
+    SameDomain,
     /// Another failure domain of the region.
-    Region,
+    SameRegion,
     /// Another region.
-    Far,
+    OtherRegion,
 }
 
 impl HostSettings {
     /// How far a failure domain is from this host.
     pub(crate) fn distance(&self, domain: &str) -> Distance {
         if *domain == *self.domain {
-            return Distance::Domain;
+            return Distance::SameDomain;
         }
         match self.regions.get(domain) {
-            Some(region) if *region == self.region => Distance::Region,
-            _ => Distance::Far,
+            Some(region) if *region == self.region => Distance::SameRegion,
+            _ => Distance::OtherRegion,
         }
     }
 }
--- a/components/gateway/src/lib.rs
+++ b/components/gateway/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! The crate decides and knows no wire format. What a deployment's platform speaks is behind the traits in [`ports`].
 
-mod beliefs;
 mod budget;
+mod cached_state;
 mod call;
 mod control;
 mod daemon;
@@ -25,16 +25,16 @@
 mod view;
 mod weights;
 
-pub use beliefs::{Beliefs, Learned};
 pub use budget::RetryBudget;
-pub use call::{AnswerFacts, CallFacts, LoadNote, PromptPart, PromptShape, SendFacts};
-pub use daemon::{Daemon, Parts};
+pub use cached_state::{CachedState, UpdateSource};
+pub use call::{AnswerFacts, CallFacts, PromptPart, PromptShape, ResponseLoad, SendFacts};
+pub use daemon::{Daemon, PlatformPorts};
 pub use declared::{
-    CallerLimits, Declared, EngineSpec, NamedWeights, Repeat, Route, Service, ServiceShare, StoreSpec,
+    CallerLimits, Declared, DesiredWeights, EngineSpec, RetrySafety, Route, Service, ServiceShare, StoreSpec,
     Workspace,
 };
 pub use error::GatewayError;
-pub use freshness::{OldWeights, old_weights};
+pub use freshness::{OldWeightsPolicy, old_weights_policy};
 pub use host::{Bounds, HostSettings};
 pub use kept::{
     CachePlan, KeptCache, KeptEvent, PartKey, PlanRequest, RegionStore, StoreChanges, StoreDirectory,
@@ -43,9 +43,9 @@
 pub use load::{LoadEstimate, ReportedLoad, SendOutcome, Work};
 pub use placement::{Candidate, Choice, Decision, Demand, decide};
 pub use quarantine::{Crash, Crashes, Fingerprint};
-pub use rows::Told;
+pub use rows::TableUpdate;
 pub use sessions::{SessionKey, Sessions};
 pub use target::Target;
 pub use traffic::{EventSplitter, Progress};
-pub use view::{HostEntry, Named, Regions, View, does_alone};
-pub use weights::{LoadOrder, Rollout, RolloutInput, is_overdue};
+pub use view::{HostEntry, Regions, View, WeightsHistory, is_sole_owner};
+pub use weights::{Rollout, RolloutAction, RolloutInput, is_overdue};
--- a/components/gateway/src/load.rs
+++ b/components/gateway/src/load.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use utils::Monotonic;
 
-use crate::LoadNote;
+use crate::ResponseLoad;
 
 /// Weight of a new sample in the exponentially weighted averages.
 const SAMPLE_WEIGHT: f64 = 0.1;
@@ -114,7 +114,7 @@
     }
 
     /// Records the load that the target reported with an answer.
-    pub fn record_answer_load(&mut self, note: LoadNote, now: Monotonic) {
+    pub fn record_answer_load(&mut self, note: ResponseLoad, now: Monotonic) {
         let all = f64::from(note.running + note.waiting);
         self.other_requests = (all - f64::from(self.own_requests)).max(0.0);
         self.waiting = f64::from(note.waiting);
@@ -127,7 +127,7 @@
         let memory = load.memory.saturating_sub(self.own_memory) as f64;
         self.other_memory = Some((memory, at));
         if at > self.reported_at {
-            let note = LoadNote {
+            let note = ResponseLoad {
                 running: load.running,
                 waiting: load.waiting,
                 slots: 0,
--- a/components/gateway/src/ports.rs
+++ b/components/gateway/src/ports.rs
@@ -10,7 +10,7 @@
 
 use crate::kept::{PartKey, StoreChanges, StoreList};
 use crate::load::ReportedLoad;
-use crate::{AnswerFacts, CallFacts, Declared, NamedWeights, SendFacts, Target};
+use crate::{AnswerFacts, CallFacts, Declared, DesiredWeights, SendFacts, Target};
 
 /// Tables of the platform's store that the gateway uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -52,9 +52,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Changes {
     /// Rows that changed, oldest first; empty if none did within the wait.
-    Known(Snapshot),
+    Delta(Snapshot),
     /// The store has forgotten what changed since; the table must be read again.
-    Forgotten,
+    Compacted,
 }
 
 /// A write of one row under a condition.
@@ -85,10 +85,10 @@
 pub enum StoreError {
     /// The store turned the call away; nothing was done.
     #[error("the store turned the call away with status {0}")]
-    TurnedAway(u16),
+    Rejected(u16),
     /// No connection, or no answer in time; a write may have taken effect.
     #[error("the store did not answer")]
-    Silent,
+    NoResponse,
     /// The answer can not be read.
     #[error("the store's answer can not be read")]
     Malformed,
@@ -123,7 +123,7 @@
     /// Routes, services, workspaces and limits.
     All(Box<Declared>),
     /// Weights named for a model.
-    Weights(NamedWeights),
+    Weights(DesiredWeights),
     /// Something that the gateway does not use.
     Other,
 }
@@ -175,11 +175,11 @@
 
 /// What becomes of requests that run when their engine changes its weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Running {
+pub enum RunningRequests {
     /// They end first; the engine takes nothing new until then.
-    EndFirst,
+    Finish,
     /// They go on with the cache that they have.
-    GoOn,
+    Continue,
 }
 
 /// An order to load weights.
@@ -192,7 +192,7 @@
     /// The version to load.
     pub version: u64,
     /// What becomes of running requests.
-    pub running: Running,
+    pub running: RunningRequests,
     /// Who gives the order.
     pub holder: String,
     /// Fencing number.
@@ -218,26 +218,26 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 #[error("the engine did not answer")]
-pub struct EngineSilent;
+pub struct EngineUnavailable;
 
 /// Reports and orders of engines.
 pub trait EngineControl: Send + Sync {
     /// Asks an engine for its state.
-    fn report(&self, address: SocketAddr) -> BoxFuture<'_, Result<EngineReport, Report<EngineSilent>>>;
+    fn report(&self, address: SocketAddr) -> BoxFuture<'_, Result<EngineReport, Report<EngineUnavailable>>>;
 
     /// Gives an engine an order.
     fn order(
         &self,
         address: SocketAddr,
         order: WeightsOrder,
-    ) -> BoxFuture<'_, Result<OrderAnswer, Report<EngineSilent>>>;
+    ) -> BoxFuture<'_, Result<OrderAnswer, Report<EngineUnavailable>>>;
 }
 
 /// A store of kept cache did not answer, or refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 #[error("the store of kept cache did not answer")]
-pub struct KeptSilent;
+pub struct KeptStoreUnavailable;
 
 /// Stores of kept cache.
 pub trait KeptStores: Send + Sync {
@@ -247,10 +247,11 @@
         address: &'a str,
         since: u64,
         wait: Duration,
-    ) -> BoxFuture<'a, Result<StoreChanges, Report<KeptSilent>>>;
+    ) -> BoxFuture<'a, Result<StoreChanges, Report<KeptStoreUnavailable>>>;
 
     /// All that a store holds.
-    fn list<'a>(&'a self, address: &'a str) -> BoxFuture<'a, Result<StoreList, Report<KeptSilent>>>;
+    fn list<'a>(&'a self, address: &'a str)
+    -> BoxFuture<'a, Result<StoreList, Report<KeptStoreUnavailable>>>;
 
     /// Has a store drop parts, if it is still in the given run.
     fn drop_parts<'a>(
@@ -258,5 +259,5 @@
         address: &'a str,
         epoch: u64,
         parts: &'a [PartKey],
-    ) -> BoxFuture<'a, Result<(), Report<KeptSilent>>>;
+    ) -> BoxFuture<'a, Result<(), Report<KeptStoreUnavailable>>>;
 }
--- a/components/gateway/src/traffic/admit.rs
+++ b/components/gateway/src/traffic/admit.rs
@@ -24,7 +24,7 @@
 
 /// Checks a request against the declarations and returns its route and workspace.
 pub(crate) fn admit(view: &View, parts: &Parts, facts: &CallFacts) -> Result<Admitted, Refusal> {
-    let Some(declared) = view.declared.clone().filter(|_| view.is_able()) else {
+    let Some(declared) = view.declared.clone().filter(|_| view.can_serve()) else {
         let refusal = Refusal::not_run(
             ProblemKind::NotServing,
             "this host has not learned yet what is declared",
--- a/components/gateway/src/traffic/exchange.rs
+++ b/components/gateway/src/traffic/exchange.rs
@@ -176,7 +176,7 @@
         sent_at,
     };
     // The target may have been removed from the view while the connection was opened.
-    if !cx.view.load().holds(&target) {
+    if !cx.view.load().contains(&target) {
         return AttemptResult::NotSent;
     }
     let time_left = call.deadline.saturating_sub(cx.now());
--- a/components/gateway/src/traffic/pipeline.rs
+++ b/components/gateway/src/traffic/pipeline.rs
@@ -17,7 +17,7 @@
 use super::relay::relay;
 use super::request::Call;
 use super::state::Traffic;
-use crate::declared::Repeat;
+use crate::declared::RetrySafety;
 use crate::jitter::jittered;
 use crate::quarantine::Crash;
 use crate::{AnswerFacts, Target};
@@ -95,7 +95,7 @@
     /// Takes a retry from the budget.
     pub(crate) fn may_send(&self, cx: &Traffic, call: &Call) -> bool {
         let is_early = cx.now() + MIN_TIME_LEFT < call.deadline;
-        let may_run = self.possible_runs == 0 || call.route.repeat.is_idempotent();
+        let may_run = self.possible_runs == 0 || call.route.retry_safety.is_idempotent();
         let has_attempts = self.possible_runs < call.route.max_targets.max(1) && self.sends < MAX_SENDS;
         let is_allowed = is_early && may_run && has_attempts && self.unreachable < MAX_UNREACHABLE;
         is_allowed && (self.sends == 0 || cx.take_retry(&call.service))
@@ -205,7 +205,7 @@
     attempts: &mut Attempts,
 ) -> AnswerAction {
     let is_good = answer.parts.status.is_success();
-    if is_good && call.route.repeat.is_stream() {
+    if is_good && call.route.retry_safety.is_stream() {
         return AnswerAction::Stream(Box::new(answer));
     }
     let run = answer.exchange.target.run.clone();
@@ -224,7 +224,7 @@
         return AnswerAction::Retry;
     };
     exchange.finish(&facts);
-    if parts.status.is_server_error() && call.route.repeat.is_idempotent() {
+    if parts.status.is_server_error() && call.route.retry_safety.is_idempotent() {
         attempts.failure = Some((parts, bytes));
         return AnswerAction::Retry;
     }
@@ -261,5 +261,5 @@
 
 /// Whether another target may continue a broken stream.
 pub(crate) fn may_resume(call: &Call) -> bool {
-    call.route.repeat == Repeat::Stream { resumable: true }
+    call.route.retry_safety == RetrySafety::Stream { resumable: true }
 }
--- a/components/gateway/src/traffic/place.rs
+++ b/components/gateway/src/traffic/place.rs
@@ -5,7 +5,7 @@
 
 use super::request::Call;
 use super::state::{RoutingState, Traffic};
-use crate::freshness::{OldWeights, old_weights};
+use crate::freshness::{OldWeightsPolicy, old_weights_policy};
 use crate::host::Distance;
 use crate::kept::{CachePlan, PlanRequest, RegionStore, region_stores};
 use crate::load::Work;
@@ -152,7 +152,7 @@
     fn targets(&self, tried: &[TargetId]) -> Vec<&'a Arc<Target>> {
         let is_allowed = |target: &&Arc<Target>| {
             let weights = self.weights_at(target);
-            !tried.contains(&target.run) && self.old_weights(weights) != OldWeights::Forbidden
+            !tried.contains(&target.run) && self.old_weights(weights) != OldWeightsPolicy::Forbidden
         };
         let listed = self.view.targets_of(&self.call.service).iter();
         let all: Vec<_> = listed.filter(is_allowed).collect();
@@ -185,9 +185,9 @@
         let load = slot.map_or(&fresh, |slot| &slot.load);
         Candidate {
             distance: match self.cx.settings.distance(&target.domain) {
-                Distance::Domain => 0,
-                Distance::Region => 1,
-                Distance::Far => 2,
+                Distance::SameDomain => 0,
+                Distance::SameRegion => 1,
+                Distance::OtherRegion => 2,
             },
             requests: load.requests(self.others.requests, self.now),
             waiting: load.waiting(self.now),
@@ -204,7 +204,7 @@
             },
             latency_ms: load.latency_ms(),
             failures: load.failures(),
-            has_old_weights: self.old_weights(weights) == OldWeights::Avoided,
+            has_old_weights: self.old_weights(weights) == OldWeightsPolicy::Avoided,
             is_connected: slot.is_some_and(|slot| slot.is_connected(self.now)),
         }
     }
@@ -217,13 +217,13 @@
     }
 
     /// Returns how a target with these weights may be used when newer ones have been declared.
-    fn old_weights(&self, weights: Option<u64>) -> OldWeights {
+    fn old_weights(&self, weights: Option<u64>) -> OldWeightsPolicy {
         let named = self.call.model().and_then(|model| self.view.weights.get(model));
         let (Some(named), Some(version)) = (named, weights) else {
-            return OldWeights::Allowed;
+            return OldWeightsPolicy::Allowed;
         };
         let deadline = self.cx.settings.bounds.weights_deadline;
-        old_weights(named, version, deadline, self.is_rollout_started, self.now)
+        old_weights_policy(named, version, deadline, self.is_rollout_started, self.now)
     }
 
     fn stores(&self, target: &Target) -> &[RegionStore] {
--- a/components/gateway/src/traffic/state.rs
+++ b/components/gateway/src/traffic/state.rs
@@ -111,7 +111,7 @@
 
     /// Whether the load balancer should send requests to this host.
     pub(crate) fn is_ready(&self) -> bool {
-        !self.is_draining() && self.view.load().is_able()
+        !self.is_draining() && self.view.load().can_serve()
     }
 
     pub(crate) fn routing(&self) -> MutexGuard<'_, RoutingState> {
--- a/components/gateway/src/view.rs
+++ b/components/gateway/src/view.rs
@@ -22,20 +22,20 @@
 
 /// Weights that were named for a model. Each version is due from its own naming, also when a newer one follows.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Named {
+pub struct WeightsHistory {
     /// Versions, oldest first, with the moment at which this host learned of each; `None` if it was named before the host
     /// started, nobody knows when.
     versions: Vec<(u64, Option<Monotonic>)>,
 }
 
-impl Named {
+impl WeightsHistory {
     /// Most versions remembered; engines are rarely that far behind.
-    const MOST: usize = 16;
+    const MAX_VERSIONS: usize = 16;
 
     /// A version that was named.
-    pub fn new(version: u64, learned_at: Option<Monotonic>) -> Self {
+    pub fn new(version: u64, received_at: Option<Monotonic>) -> Self {
         Self {
-            versions: vec![(version, learned_at)],
+            versions: vec![(version, received_at)],
         }
     }
 
@@ -45,12 +45,12 @@
     }
 
     /// Takes a newer version; an older one is ignored. True if it is newer.
-    pub fn add(&mut self, version: u64, learned_at: Option<Monotonic>) -> bool {
+    pub fn add(&mut self, version: u64, received_at: Option<Monotonic>) -> bool {
         let is_newer = version > self.newest();
         if is_newer {
-            self.versions.push((version, learned_at));
+            self.versions.push((version, received_at));
         }
-        if self.versions.len() > Self::MOST {
+        if self.versions.len() > Self::MAX_VERSIONS {
             self.versions.remove(0);
         }
         is_newer
@@ -59,12 +59,12 @@
     /// When the first version was named that replaced the given one; outer `None` if none did.
     pub fn replaced_at(&self, version: u64) -> Option<Option<Monotonic>> {
         let newer = self.versions.iter().find(|(named, _)| *named > version);
-        newer.map(|(_, learned_at)| *learned_at)
+        newer.map(|(_, received_at)| *received_at)
     }
 
     /// When the newest version was named, if this host has seen it.
     pub fn newest_at(&self) -> Option<Monotonic> {
-        self.versions.last().and_then(|(_, learned_at)| *learned_at)
+        self.versions.last().and_then(|(_, received_at)| *received_at)
     }
 }
 
@@ -75,13 +75,18 @@
 ///
 /// ```
 /// let hosts = ["host-1".into(), "host-2".into()];
-/// assert!(hosts.iter().any(|host| gateway::does_alone(&hosts, b"task", host)));
+/// assert!(hosts.iter().any(|host| gateway::is_sole_owner(&hosts, b"task", host)));
 /// ```
-pub fn does_alone(hosts: &[HostId], task: &[u8], host: &str) -> bool {
-    is_among(hosts, task, host, 1)
+pub fn is_sole_owner(hosts: &[HostId], task: &[u8], host: &str) -> bool {
+    is_owner_among(hosts, task, host, 1)
 }
 
-fn is_among<'a>(hosts: impl IntoIterator<Item = &'a HostId>, task: &[u8], host: &str, count: usize) -> bool {
+fn is_owner_among<'a>(
+    hosts: impl IntoIterator<Item = &'a HostId>,
+    task: &[u8],
+    host: &str,
+    count: usize,
+) -> bool {
     let order = rendezvous_order(task, hosts.into_iter().map(|name| &**name));
     order.iter().take(count).any(|name| *name == host)
 }
@@ -94,19 +99,19 @@
     /// Targets by service, leaving ones left out.
     pub targets: HashMap<ServiceId, Vec<Arc<Target>>>,
     /// Weights by model.
-    pub weights: HashMap<ModelId, Named>,
+    pub weights: HashMap<ModelId, WeightsHistory>,
     /// Known entry hosts.
     pub hosts: BTreeMap<HostId, HostEntry>,
     /// Requests that crash targets.
     pub quarantined: HashSet<Fingerprint>,
     /// Whether targets were ever read.
-    pub knows_targets: bool,
+    pub has_read_targets: bool,
 }
 
 impl View {
     /// Whether the host can serve requests.
-    pub fn is_able(&self) -> bool {
-        self.declared.is_some() && self.knows_targets
+    pub fn can_serve(&self) -> bool {
+        self.declared.is_some() && self.has_read_targets
     }
 
     /// The targets of a service.
@@ -115,7 +120,7 @@
     }
 
     /// Whether a target is still listed in the same incarnation.
-    pub fn holds(&self, target: &Target) -> bool {
+    pub fn contains(&self, target: &Target) -> bool {
         let listed = self.targets_of(&target.service);
         listed.iter().any(|t| t.run == target.run)
     }
@@ -126,7 +131,7 @@
     /// assert!(!gateway::View::default().owns(b"orders", "host-1", 3));
     /// ```
     pub fn owns(&self, duty: &[u8], host: &str, count: usize) -> bool {
-        is_among(self.hosts.keys(), duty, host, count)
+        is_owner_among(self.hosts.keys(), duty, host, count)
     }
 
     /// Hosts that do something for a region, the same at every host that knows the same hosts. They stand in the region if it has
--- a/components/gateway/src/weights.rs
+++ b/components/gateway/src/weights.rs
@@ -7,18 +7,18 @@
 
 use crate::ports::{EngineReport, OrderAnswer};
 use crate::view::View;
-use crate::{NamedWeights, Target};
+use crate::{DesiredWeights, Target};
 
 /// Age at which a report is asked for again while a load is under way.
-const REPORT_AGE: Duration = Duration::from_millis(300);
+const MAX_REPORT_AGE: Duration = Duration::from_millis(300);
 /// Time after which an order without a visible effect is given again.
-const REPEAT_AFTER: Duration = Duration::from_millis(1_500);
+const ORDER_RETRY_INTERVAL: Duration = Duration::from_millis(1_500);
 /// One engine in this many of a model may load at once; the others serve meanwhile.
-const LOADING_PART: usize = 3;
+const LOADING_DIVISOR: usize = 3;
 
 /// What to do next.
 #[derive(Debug, Clone, PartialEq)]
-pub enum LoadOrder {
+pub enum RolloutAction {
     /// Reserve a place among the loads.
     Start(LoadSlot),
     /// Give the place back.
@@ -30,7 +30,7 @@
         /// The engine.
         target: Arc<Target>,
         /// What to load.
-        weights: NamedWeights,
+        weights: DesiredWeights,
         /// Orders that the engine must have accepted before.
         revision: u64,
     },
@@ -44,7 +44,7 @@
     /// An engine's answer to an order; `None` if there was none.
     Ordered(Option<OrderAnswer>),
     /// No report came.
-    Silent,
+    NoReport,
 }
 
 /// What is known of an engine during a load.
@@ -53,7 +53,7 @@
     /// Last report.
     report: Option<EngineReport>,
     /// When it was asked for last.
-    asked_at: Option<Monotonic>,
+    queried_at: Option<Monotonic>,
     /// When the last order was sent.
     ordered_at: Option<Monotonic>,
 }
@@ -80,18 +80,18 @@
 /// assert!(!is_overdue(&View::default(), std::time::Duration::ZERO));
 /// ```
 pub fn is_overdue(view: &View, now: Monotonic) -> bool {
-    behind(view).iter().any(|(_, weights)| {
-        let named = view
+    outdated_engines(view).iter().any(|(_, weights)| {
+        let named_at = view
             .weights
             .get(&weights.model)
-            .and_then(|named| named.newest_at());
-        named.is_some_and(|at| now >= at + OVERDUE_AFTER)
+            .and_then(|history| history.newest_at());
+        named_at.is_some_and(|at| now >= at + OVERDUE_AFTER)
     })
 }
 
 impl Rollout {
     /// Takes what an engine said.
-    pub fn take(&mut self, target: &Target, input: RolloutInput) {
+    pub fn handle(&mut self, target: &Target, input: RolloutInput) {
         let progress = self.progress.entry(target.run.clone()).or_default();
         match input {
             RolloutInput::Reported(report) => progress.report = Some(report),
@@ -101,45 +101,50 @@
                     progress.ordered_at = None;
                 }
             }
-            RolloutInput::Silent => {}
+            RolloutInput::NoReport => {}
         }
     }
 
     /// What to do next, given the loads that are reserved in the lease's row.
-    pub fn next(&mut self, view: &View, loads: &[LoadSlot], now: Monotonic) -> Vec<LoadOrder> {
-        let mut orders = Vec::new();
-        let mut behind = behind(view);
+    pub fn next(&mut self, view: &View, loads: &[LoadSlot], now: Monotonic) -> Vec<RolloutAction> {
+        let mut actions = Vec::new();
+        let mut outdated = outdated_engines(view);
         self.loaded
-            .retain(|id, _| behind.iter().any(|(target, _)| target.run == *id));
-        behind.retain(|(target, weights)| {
+            .retain(|id, _| outdated.iter().any(|(target, _)| target.run == *id));
+        outdated.retain(|(target, weights)| {
             let loaded = self.loaded.get(&target.run);
             loaded.is_none_or(|version| *version < weights.version)
         });
-        let limit = (engines(view) / LOADING_PART).max(1);
+        let limit = (engine_count(view) / LOADING_DIVISOR).max(1);
         self.progress
             .retain(|id, _| loads.iter().any(|slot| slot.target == *id));
         for slot in loads {
-            let found = behind.iter().find(|(target, _)| target.run == slot.target);
+            let found = outdated.iter().find(|(target, _)| target.run == slot.target);
             match found {
-                Some((target, weights)) => orders.extend(self.step(target, weights, now)),
-                None => orders.push(LoadOrder::End(slot.target.clone())),
+                Some((target, weights)) => actions.extend(self.step(target, weights, now)),
+                None => actions.push(RolloutAction::End(slot.target.clone())),
             }
         }
-        let room = limit.saturating_sub(loads.len());
-        let waiting = behind
+        let free_slots = limit.saturating_sub(loads.len());
+        let waiting = outdated
             .iter()
             .filter(|(target, _)| !loads.iter().any(|slot| slot.target == target.run));
-        orders.extend(waiting.take(room).map(|(target, weights)| {
-            LoadOrder::Start(LoadSlot {
+        actions.extend(waiting.take(free_slots).map(|(target, weights)| {
+            RolloutAction::Start(LoadSlot {
                 target: target.run.clone(),
                 model: weights.model.clone(),
                 version: weights.version as WeightVersion,
             })
         }));
-        orders
+        actions
     }
 
-    fn step(&mut self, target: &Arc<Target>, weights: &NamedWeights, now: Monotonic) -> Option<LoadOrder> {
+    fn step(
+        &mut self,
+        target: &Arc<Target>,
+        weights: &DesiredWeights,
+        now: Monotonic,
+    ) -> Option<RolloutAction> {
         let progress = self.progress.entry(target.run.clone()).or_default();
         if let Some(report) = &progress.report {
             let loaded = report
@@ -148,44 +153,46 @@
                 .any(|(model, version)| *model == weights.model && *version >= weights.version);
             if loaded {
                 self.loaded.insert(target.run.clone(), weights.version);
-                return Some(LoadOrder::End(target.run.clone()));
+                return Some(RolloutAction::End(target.run.clone()));
             }
-            let is_due = progress.ordered_at.is_none_or(|at| now >= at + REPEAT_AFTER);
-            if !report.is_busy && is_due {
+            let is_order_due = progress
+                .ordered_at
+                .is_none_or(|at| now >= at + ORDER_RETRY_INTERVAL);
+            if !report.is_busy && is_order_due {
                 progress.ordered_at = Some(now);
-                return Some(LoadOrder::Load {
+                return Some(RolloutAction::Load {
                     target: target.clone(),
                     weights: weights.clone(),
                     revision: report.revision,
                 });
             }
         }
-        let is_old = progress.asked_at.is_none_or(|at| now >= at + REPORT_AGE);
-        is_old.then(|| {
-            progress.asked_at = Some(now);
-            LoadOrder::Query(target.clone())
+        let is_query_due = progress.queried_at.is_none_or(|at| now >= at + MAX_REPORT_AGE);
+        is_query_due.then(|| {
+            progress.queried_at = Some(now);
+            RolloutAction::Query(target.clone())
         })
     }
 }
 
 /// Engines whose entry shows older weights than were named.
-fn behind(view: &View) -> Vec<(Arc<Target>, NamedWeights)> {
+fn outdated_engines(view: &View) -> Vec<(Arc<Target>, DesiredWeights)> {
     let mut found = Vec::new();
     for target in view.targets.values().flatten() {
-        let late = target.models.iter().find_map(|(model, version)| {
-            let named = view.weights.get(model)?;
-            (*version < named.newest()).then(|| NamedWeights {
+        let outdated = target.models.iter().find_map(|(model, version)| {
+            let history = view.weights.get(model)?;
+            (*version < history.newest()).then(|| DesiredWeights {
                 model: model.clone(),
-                version: named.newest(),
+                version: history.newest(),
             })
         });
-        found.extend(late.map(|weights| (target.clone(), weights)));
+        found.extend(outdated.map(|weights| (target.clone(), weights)));
     }
     found.sort_by(|a, b| a.0.instance.cmp(&b.0.instance));
     found
 }
 
-fn engines(view: &View) -> usize {
+fn engine_count(view: &View) -> usize {
     let all = view.targets.values().flatten();
     all.filter(|target| !target.models.is_empty()).count()
 }
--- a/components/gateway/tests/duties.rs
+++ b/components/gateway/tests/duties.rs
@@ -1,6 +1,6 @@
 //! Who does what for a region: every host says the same, and what only followers of a store can do falls to one of them.
 
-use gateway::{HostEntry, Regions, View, does_alone};
+use gateway::{HostEntry, Regions, View, is_sole_owner};
 use utils::HostId;
 
 /// A view of `count` hosts, every other one in each of two regions.
@@ -41,7 +41,7 @@
         let watchers = view.hosts_for(&regions, &"north".into(), "kept", 10);
         for store in 0..20 {
             let task = format!("10.0.0.{store}:80");
-            let drops = |name: &&HostId| does_alone(&watchers, task.as_bytes(), name);
+            let drops = |name: &&HostId| is_sole_owner(&watchers, task.as_bytes(), name);
             assert_eq!(watchers.iter().filter(drops).count(), 1);
             assert_eq!(view.hosts.keys().filter(drops).count(), 1);
         }
--- a/components/gateway/tests/overload.rs
+++ b/components/gateway/tests/overload.rs
@@ -6,7 +6,8 @@
 use std::time::Duration;
 
 use gateway::{
-    Candidate, Decision, Demand, LoadEstimate, LoadNote, ReportedLoad, RetryBudget, SendOutcome, Work, decide,
+    Candidate, Decision, Demand, LoadEstimate, ReportedLoad, ResponseLoad, RetryBudget, SendOutcome, Work,
+    decide,
 };
 use support::ms;
 
@@ -177,7 +178,7 @@
 #[test]
 fn an_old_report_decays_to_the_expected_load() {
     let mut load = LoadEstimate::default();
-    let note = LoadNote {
+    let note = ResponseLoad {
         running: 40,
         waiting: 10,
         slots: 64,
@@ -267,7 +268,7 @@
 #[test]
 fn an_older_report_does_not_replace_the_load_of_an_answer() {
     let mut load = LoadEstimate::default();
-    let note = LoadNote {
+    let note = ResponseLoad {
         running: 3,
         waiting: 0,
         slots: 12,
--- a/components/gateway/tests/quarantine.rs
+++ b/components/gateway/tests/quarantine.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use gateway::ports::Table;
-use gateway::{Beliefs, Crashes, Fingerprint, Learned};
+use gateway::{CachedState, Crashes, Fingerprint, UpdateSource};
 use support::{decode, ms, removed, row, snapshot};
 
 fn fingerprint(body: &str) -> Fingerprint {
@@ -16,8 +16,8 @@
     format!("crash/{}/{host}/{number}", fingerprint(body).text())
 }
 
-fn state() -> Beliefs {
-    Beliefs::new(decode(), Duration::from_secs(2))
+fn state() -> CachedState {
+    CachedState::new(decode(), Duration::from_secs(2))
 }
 
 #[test]
@@ -27,10 +27,10 @@
         row(&key("bad", "one", 1), "", 1),
         row(&key("good", "one", 1), "", 2),
     ];
-    state.apply(Table::Shared, snapshot(2, rows), Learned::Store, ms(0));
+    state.apply(Table::Shared, snapshot(2, rows), UpdateSource::Store, ms(0));
     assert!(state.publish().unwrap().quarantined.is_empty());
     let rows = [row(&key("bad", "two", 1), "", 3)];
-    state.apply(Table::Shared, snapshot(3, rows), Learned::Store, ms(100));
+    state.apply(Table::Shared, snapshot(3, rows), UpdateSource::Store, ms(100));
     let quarantined = state.publish().unwrap().quarantined;
     assert!(quarantined.contains(&fingerprint("bad")) && quarantined.len() == 1);
 }
@@ -42,11 +42,11 @@
         row(&key("bad", "one", 1), "", 1),
         row(&key("bad", "one", 2), "", 2),
     ];
-    state.apply(Table::Shared, snapshot(2, rows), Learned::Store, ms(0));
-    assert!(state.old_crashes(Duration::from_secs(119)).is_empty());
-    assert_eq!(state.old_crashes(Duration::from_secs(120)).len(), 2);
+    state.apply(Table::Shared, snapshot(2, rows), UpdateSource::Store, ms(0));
+    assert!(state.expired_crashes(Duration::from_secs(119)).is_empty());
+    assert_eq!(state.expired_crashes(Duration::from_secs(120)).len(), 2);
     let rows = [removed(&key("bad", "one", 1), 3)];
-    state.apply(Table::Shared, snapshot(3, rows), Learned::Store, ms(0));
+    state.apply(Table::Shared, snapshot(3, rows), UpdateSource::Store, ms(0));
     assert!(state.publish().unwrap().quarantined.is_empty());
 }
 
--- a/components/gateway/tests/support/mod.rs
+++ b/components/gateway/tests/support/mod.rs
@@ -8,7 +8,7 @@
 
 use error_stack::Report;
 use gateway::ports::{DeclaredRecord, Decode, Record, Snapshot, UnusableRecord};
-use gateway::{CallerLimits, Declared, NamedWeights, Target};
+use gateway::{CallerLimits, Declared, DesiredWeights, Target};
 
 /// Reads rows of the form `declared N`, `weights MODEL N` and `target SERVICE VERSION [leaving]`.
 pub(crate) struct WordDecode;
@@ -23,7 +23,7 @@
                 let declared = Declared::new(version, limits, [], [], Some(HashMap::new()));
                 Ok(DeclaredRecord::All(Box::new(declared)))
             }
-            ["weights", model, version] => Ok(DeclaredRecord::Weights(NamedWeights {
+            ["weights", model, version] => Ok(DeclaredRecord::Weights(DesiredWeights {
                 model: model.into(),
                 version: version.parse().map_err(|_| UnusableRecord)?,
             })),
--- a/components/gateway/tests/weights.rs
+++ b/components/gateway/tests/weights.rs
@@ -5,7 +5,10 @@
 use std::sync::Arc;
 
 use gateway::ports::EngineReport;
-use gateway::{LoadOrder, Named, OldWeights, Rollout, RolloutInput, Target, View, is_overdue, old_weights};
+use gateway::{
+    OldWeightsPolicy, Rollout, RolloutAction, RolloutInput, Target, View, WeightsHistory, is_overdue,
+    old_weights_policy,
+};
 use membership::LoadSlot;
 use support::{ms, target};
 
@@ -13,7 +16,8 @@
     let mut view = View::default();
     let all = targets.iter().cloned().map(Arc::new).collect();
     view.targets.insert("s".into(), all);
-    view.weights.insert("m".into(), Named::new(2, Some(ms(0))));
+    view.weights
+        .insert("m".into(), WeightsHistory::new(2, Some(ms(0))));
     view
 }
 
@@ -40,7 +44,11 @@
     let engines: Vec<_> = (0..6).map(|i| target(&format!("e{i}"), 1)).collect();
     let orders = Rollout::default().next(&view(&engines), &[], ms(0));
     assert_eq!(orders.len(), 2);
-    assert!(orders.iter().all(|order| matches!(order, LoadOrder::Start(_))));
+    assert!(
+        orders
+            .iter()
+            .all(|order| matches!(order, RolloutAction::Start(_)))
+    );
 }
 
 #[test]
@@ -50,11 +58,11 @@
     let engine = target("e", 1);
     assert!(matches!(
         rollout.next(&view, &[slot("e")], ms(0))[..],
-        [LoadOrder::Query(_)]
+        [RolloutAction::Query(_)]
     ));
-    rollout.take(&engine, report(1, 7, false));
+    rollout.handle(&engine, report(1, 7, false));
     let orders = rollout.next(&view, &[slot("e")], ms(100));
-    assert!(matches!(orders[..], [LoadOrder::Load { revision: 7, .. }]));
+    assert!(matches!(orders[..], [RolloutAction::Load { revision: 7, .. }]));
 }
 
 #[test]
@@ -62,19 +70,23 @@
     let view = view(&[target("e", 1)]);
     let mut rollout = Rollout::default();
     let engine = target("e", 1);
-    rollout.take(&engine, report(1, 0, false));
+    rollout.handle(&engine, report(1, 0, false));
     assert!(matches!(
         rollout.next(&view, &[slot("e")], ms(0))[..],
-        [LoadOrder::Load { .. }]
+        [RolloutAction::Load { .. }]
     ));
-    rollout.take(&engine, RolloutInput::Ordered(None));
-    rollout.take(&engine, report(1, 0, false));
+    rollout.handle(&engine, RolloutInput::Ordered(None));
+    rollout.handle(&engine, report(1, 0, false));
     let early = rollout.next(&view, &[slot("e")], ms(1_000));
-    assert!(!early.iter().any(|order| matches!(order, LoadOrder::Load { .. })));
-    rollout.take(&engine, report(1, 0, false));
+    assert!(
+        !early
+            .iter()
+            .any(|order| matches!(order, RolloutAction::Load { .. }))
+    );
+    rollout.handle(&engine, report(1, 0, false));
     assert!(matches!(
         rollout.next(&view, &[slot("e")], ms(2_000))[..],
-        [LoadOrder::Load { .. }]
+        [RolloutAction::Load { .. }]
     ));
 }
 
@@ -82,9 +94,13 @@
 fn a_busy_engine_gets_no_second_order() {
     let view = view(&[target("e", 1)]);
     let mut rollout = Rollout::default();
-    rollout.take(&target("e", 1), report(1, 1, true));
+    rollout.handle(&target("e", 1), report(1, 1, true));
     let orders = rollout.next(&view, &[slot("e")], ms(5_000));
-    assert!(!orders.iter().any(|order| matches!(order, LoadOrder::Load { .. })));
+    assert!(
+        !orders
+            .iter()
+            .any(|order| matches!(order, RolloutAction::Load { .. }))
+    );
 }
 
 #[test]
@@ -92,46 +108,46 @@
     let engines = [target("e", 1), target("f", 1)];
     let view = view(&engines);
     let mut rollout = Rollout::default();
-    rollout.take(&engines[0], report(2, 1, false));
+    rollout.handle(&engines[0], report(2, 1, false));
     let orders = rollout.next(&view, &[slot("e")], ms(0));
-    assert!(matches!(&orders[..], [LoadOrder::End(id)] if **id == *"e/1"));
+    assert!(matches!(&orders[..], [RolloutAction::End(id)] if **id == *"e/1"));
     let orders = rollout.next(&view, &[], ms(100));
-    assert!(matches!(&orders[..], [LoadOrder::Start(next)] if *next.target == *"f/1"));
+    assert!(matches!(&orders[..], [RolloutAction::Start(next)] if *next.target == *"f/1"));
 }
 
 #[test]
 fn a_load_of_an_engine_that_is_gone_gives_its_place_back() {
     let view = view(&[target("f", 2)]);
     let orders = Rollout::default().next(&view, &[slot("e")], ms(0));
-    assert!(matches!(&orders[..], [LoadOrder::End(id)] if **id == *"e/1"));
+    assert!(matches!(&orders[..], [RolloutAction::End(id)] if **id == *"e/1"));
 }
 
 #[test]
 fn weights_named_before_the_start_forbid_old_ones_once_any_engine_has_them() {
-    let named = Named::new(2, None);
+    let history = WeightsHistory::new(2, None);
     let deadline = ms(10_000);
-    let at = |is_under_way| old_weights(&named, 1, deadline, is_under_way, ms(60_000));
-    assert_eq!(at(true), OldWeights::Forbidden);
-    assert_eq!(at(false), OldWeights::Avoided);
+    let at = |is_rollout_started| old_weights_policy(&history, 1, deadline, is_rollout_started, ms(60_000));
+    assert_eq!(at(true), OldWeightsPolicy::Forbidden);
+    assert_eq!(at(false), OldWeightsPolicy::Avoided);
 }
 
 #[test]
 fn a_version_is_due_from_its_own_naming_also_when_a_newer_one_follows() {
-    let mut named = Named::new(1, None);
-    assert!(named.add(2, Some(ms(2_000))));
-    assert!(named.add(3, Some(ms(5_000))));
-    assert!(!named.add(2, Some(ms(6_000))));
+    let mut history = WeightsHistory::new(1, None);
+    assert!(history.add(2, Some(ms(2_000))));
+    assert!(history.add(3, Some(ms(5_000))));
+    assert!(!history.add(2, Some(ms(6_000))));
     let deadline = ms(10_000);
-    let at = |version, now| old_weights(&named, version, deadline, true, ms(now));
-    assert_eq!(at(1, 9_000), OldWeights::Forbidden);
-    assert_eq!(at(2, 9_000), OldWeights::Avoided);
-    assert_eq!(at(3, 60_000), OldWeights::Allowed);
+    let at = |version, now| old_weights_policy(&history, version, deadline, true, ms(now));
+    assert_eq!(at(1, 9_000), OldWeightsPolicy::Forbidden);
+    assert_eq!(at(2, 9_000), OldWeightsPolicy::Avoided);
+    assert_eq!(at(3, 60_000), OldWeightsPolicy::Allowed);
 }
 
 #[test]
 fn weights_that_nobody_orders_are_every_hosts_business_after_a_while() {
-    let behind = view(&[target("e", 1), target("f", 2)]);
-    assert!(!is_overdue(&behind, ms(3_999)));
-    assert!(is_overdue(&behind, ms(4_000)));
+    let outdated = view(&[target("e", 1), target("f", 2)]);
+    assert!(!is_overdue(&outdated, ms(3_999)));
+    assert!(is_overdue(&outdated, ms(4_000)));
     assert!(!is_overdue(&view(&[target("f", 2)]), ms(60_000)));
 }
