--- a/components/gateway/src/cached_state.rs
+++ b/components/gateway/src/cached_state.rs
@@ -11,12 +11,12 @@
 use crate::view::{HostEntry, View, WeightsHistory};
 use crate::{Declared, Target};
 
-/// Start of the keys under which entry hosts register themselves.
+/// Prefix of the keys under which entry hosts register themselves.
 pub(crate) const HOST_PREFIX: &str = "host/";
-/// Start of the keys of crashes: `crash/FINGERPRINT/HOST/NUMBER`, a row for each crash that a host has seen.
+/// Prefix of crash keys. The key `crash/FINGERPRINT/HOST/NUMBER` records one crash observed by a host.
 pub(crate) const CRASH_PREFIX: &str = "crash/";
 
-/// Who told the host about a row.
+/// Where an update of a table comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpdateSource {
     /// The platform's store.
@@ -25,51 +25,53 @@
     Peer,
 }
 
-/// Connection to the store, as its calls show it.
+/// Availability of the store, derived from the results of calls to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StoreLink {
-    /// Calls are answered, since this moment; `None` since the start.
+    /// Calls succeed. Holds the end of the last outage until the grace period after it has passed.
     Up(Option<Monotonic>),
     /// Calls fail.
     Down,
 }
 
-/// What the host believes about declarations, targets and other hosts. A state machine without I/O.
+/// The host's cached state: declarations, targets and other hosts. A state machine without I/O.
 ///
-/// Versions only grow: a row that is older than the one held is ignored, so a late or stale answer can't bring back what
-/// has been replaced. Entries that vanish while the store was away may only have lapsed; they stay until
-/// the grace after its return has passed.
+/// Versions only increase: a row older than the cached one is ignored, so a late or stale answer can't undo
+/// an update. Entries that disappear around an outage of the store may only have lapsed; they stay until the
+/// grace period after its return ends.
 pub struct CachedState {
-    /// Reads rows.
+    /// Decodes rows.
     decode: Arc<dyn Decode>,
-    /// Time for which an entry that is missing after an outage may still come back.
+    /// How long a target that is missing after an outage stays listed.
     return_grace: Duration,
-    /// Rows as they were read.
+    /// Raw rows by table.
     tables: HashMap<Table, Rows>,
-    /// State of the store.
+    /// Availability of the store.
     link: StoreLink,
-    /// When the store last answered.
+    /// Time of the last successful call to the store.
     answered_at: Monotonic,
-    /// Declared state.
+    /// Latest declared configuration; `None` before the first one is read.
     declared: Option<Arc<Declared>>,
-    /// Named weights.
+    /// Weight versions declared for each model.
     weights: HashMap<ModelId, WeightsHistory>,
-    /// Usable targets by key.
+    /// Confirmed targets by key.
     targets: BTreeMap<String, Arc<Target>>,
-    /// Targets whose entry vanished around an outage.
+    /// Targets by key whose entry disappeared around an outage and may have only lapsed.
     unconfirmed: BTreeMap<String, Arc<Target>>,
-    /// Entry hosts.
+    /// Registered entry hosts by name.
     hosts: BTreeMap<String, HostEntry>,
-    /// Crashes by key, with the request that was aboard and when this host learned of it.
+    /// Crashes by key, with the fingerprint of the request that was running and the time at which this host
+    /// received the row.
     crashes: BTreeMap<String, (Fingerprint, Monotonic)>,
-    /// Whether the declared state was read before the change at hand.
+    /// Whether the declared table was read in full before the current update. Only versions received after
+    /// that have a known age.
     was_declared_read: bool,
-    /// Whether the view has to be published again.
+    /// Whether the state has changed since the last published view.
     is_changed: bool,
 }
 
 impl CachedState {
-    /// A host that knows nothing.
+    /// Creates an empty state.
     pub fn new(decode: Arc<dyn Decode>, return_grace: Duration) -> Self {
         Self {
             decode,
@@ -88,23 +90,24 @@
         }
     }
 
-    /// The version up to which a table is known, once it was read whole.
+    /// Returns the version up to which a table is complete; `None` until it has been read in full.
     pub fn complete_version(&self, table: Table) -> Option<u64> {
         self.tables.get(&table)?.complete_version()
     }
 
-    /// Version of a row that is there.
+    /// Returns the version of an existing row.
     pub fn version_of(&self, table: Table, key: &str) -> Option<u64> {
         self.tables.get(&table)?.version_of(key)
     }
 
-    /// Removed rows that are remembered, to be told to other hosts.
+    /// Returns the number of tombstones kept for updates to other hosts.
     pub fn tombstone_count(&self) -> usize {
         self.tables.values().map(Rows::tombstone_count).sum()
     }
 
-    /// What another host lacks that knows a table up to a version; `None` if this host can't say. Targets that may have lapsed
-    /// only because the store was away are neither there nor gone, so nothing is said of targets until that is settled.
+    /// Returns the update that another host needs to go from `version` of a table to the cached version;
+    /// `None` while this host can't determine it. Unconfirmed targets are neither present nor removed, so no
+    /// update of targets is returned while there are any.
     pub fn changes_since(&self, table: Table, version: u64) -> Option<TableUpdate> {
         let has_unconfirmed = table == Table::Targets && !self.unconfirmed.is_empty();
         let rows = self.tables.get(&table).filter(|_| !has_unconfirmed)?;
@@ -112,7 +115,7 @@
         Some(rows.changes_since(version))
     }
 
-    /// A call to the store was answered. True if calls failed before.
+    /// Records a successful call to the store. Returns true if the previous call failed.
     pub fn store_answered(&mut self, now: Monotonic) -> bool {
         self.answered_at = now;
         let was_down = self.link == StoreLink::Down;
@@ -122,24 +125,25 @@
         was_down
     }
 
-    /// A call to the store failed. True if calls were answered before.
+    /// Records a failed call to the store. Returns true if the previous call succeeded.
     pub fn store_failed(&mut self) -> bool {
         let was_up = self.link != StoreLink::Down;
         self.link = StoreLink::Down;
         was_up
     }
 
-    /// Time since the store last answered.
+    /// Returns the time since the last successful call to the store.
     pub fn store_age(&self, now: Monotonic) -> Duration {
         now.saturating_sub(self.answered_at)
     }
 
-    /// Whether calls to the store fail.
+    /// Returns whether the last call to the store failed.
     pub fn is_store_down(&self) -> bool {
         self.link == StoreLink::Down
     }
 
-    /// Takes a whole table. Rows that it lacks are gone; an older answer than what is held is ignored.
+    /// Replaces a whole table and removes the rows missing from the snapshot. Ignores a snapshot older than
+    /// the cached table. Returns the rows that can't be decoded.
     pub fn replace(
         &mut self,
         table: Table,
@@ -148,12 +152,12 @@
         now: Monotonic,
     ) -> Vec<Report<UnusableRecord>> {
         let applied = self.tables.entry(table).or_default().replace(snapshot, now);
-        // A table without rows is news as well: from now on it is known.
+        // An empty snapshot is a change as well: it makes the table complete.
         self.is_changed |= applied.is_some();
         self.apply_records(table, applied.unwrap_or_default(), source, now)
     }
 
-    /// Takes rows that changed.
+    /// Applies changed rows. Returns the rows that can't be decoded.
     pub fn apply(
         &mut self,
         table: Table,
@@ -165,7 +169,7 @@
         self.apply_records(table, applied, source, now)
     }
 
-    /// Takes what another host told.
+    /// Applies an update received from another host. Returns the rows that can't be decoded.
     pub fn apply_update(
         &mut self,
         table: Table,
@@ -173,7 +177,7 @@
         now: Monotonic,
     ) -> Vec<Report<UnusableRecord>> {
         match update {
-            // To a host that knows nothing, what is newer than nothing is the whole table.
+            // For a host without a complete table, the rows newer than version 0 are the whole table.
             TableUpdate::Newer(snapshot) if self.complete_version(table).is_some() => {
                 self.apply(table, snapshot, UpdateSource::Peer, now)
             }
@@ -183,7 +187,7 @@
         }
     }
 
-    /// Keys of crashes that are old enough to be forgotten.
+    /// Returns the keys of crashes past their retention time.
     pub fn expired_crashes(&self, now: Monotonic) -> Vec<String> {
         let expired = self
             .crashes
@@ -192,7 +196,8 @@
         expired.map(|(key, _)| key.clone()).collect()
     }
 
-    /// Removes the entries that did not come back in time after an outage, and forgets old removals.
+    /// Removes targets still unconfirmed when the grace period after an outage ends, and purges expired
+    /// tombstones.
     pub fn tick(&mut self, now: Monotonic) {
         for rows in self.tables.values_mut() {
             rows.purge_tombstones(now);
@@ -210,7 +215,7 @@
         }
     }
 
-    /// The view to publish, if anything has changed since the last one.
+    /// Returns the view to publish if the state has changed since the last one.
     pub fn publish(&mut self) -> Option<View> {
         if !std::mem::take(&mut self.is_changed) {
             return None;
@@ -303,7 +308,8 @@
         Ok(())
     }
 
-    /// A host that reaches the store has resolved doubts itself; what it calls gone is gone.
+    /// Removes a target. A removal read from the store around an outage only makes the target unconfirmed. A
+    /// peer reports no targets while it has unconfirmed ones, so a removal from a peer is final.
     fn remove_target(&mut self, key: &str, source: UpdateSource) {
         let Some(target) = self.targets.remove(key) else {
             if source == UpdateSource::Peer {
@@ -336,7 +342,7 @@
         Ok(())
     }
 
-    /// Requests that were aboard crashes often enough, whichever hosts saw them.
+    /// Returns the requests that were running in enough crashes, counted over all hosts.
     fn quarantined(&self) -> HashSet<Fingerprint> {
         let mut counts: HashMap<Fingerprint, u32> = HashMap::new();
         for (fingerprint, _) in self.crashes.values() {
--- a/components/gateway/src/call.rs
+++ b/components/gateway/src/call.rs
@@ -7,27 +7,28 @@
 /// One part of a prompt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Name of the part; equal names mean equal content.
+    /// Identifier of the part; equal identifiers mean equal content.
     pub id: Box<str>,
-    /// Its length.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// What a caller says of its prompt.
+/// Shape of a prompt, as stated by the caller.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct PromptShape {
-    /// The model.
+    /// Name of the model.
     pub model: ModelId,
-    /// Tokens to read.
+    /// Number of prompt tokens.
     pub tokens_in: u32,
     /// Most tokens to generate.
     pub tokens_out: u32,
-    /// Parts of the prompt, first to last.
+    /// Parts of the prompt in order.
     pub parts: Vec<PromptPart>,
 }
 
 impl PromptShape {
-    /// The part by which returning prompts are kept together: the longest start that others may share.
+    /// Returns the part that identifies the session: the last part of the longest prefix that other prompts
+    /// may share.
     ///
     /// ```
     /// use gateway::{PromptPart, PromptShape};
@@ -42,74 +43,74 @@
         self.parts.get(shared)
     }
 
-    /// Tokens up to and including the session's part.
+    /// Returns the number of tokens up to and including the session's part.
     pub fn shared_tokens(&self) -> u32 {
         let shared = self.parts.len().saturating_sub(1).max(1);
         self.parts.iter().take(shared).map(|part| part.tokens).sum()
     }
 }
 
-/// What a request says in its head, beside method and path.
+/// Metadata of a caller's request, read from its headers.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct CallFacts {
-    /// Identifier of this try of the caller.
+    /// Identifier of the caller's attempt.
     pub id: Option<String>,
     /// API key.
     pub key: Option<String>,
-    /// How long the caller waits.
+    /// Time for which the caller waits.
     pub deadline: Option<Duration>,
-    /// Its prompt, if it is for a model.
+    /// Shape of the prompt, if the request is for a model.
     pub prompt: Option<PromptShape>,
-    /// Last event that the caller has, if it continues a stream.
+    /// Last event that the caller received, if it resumes a stream.
     pub last_event: Option<String>,
 }
 
-/// What the head of a request to a target says, beside what the caller sent.
+/// Metadata that the gateway sets in the headers of a request to a target.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct SendFacts {
-    /// How long the target may work.
+    /// Time left for the target to answer.
     pub time_left: Duration,
-    /// The only instance that may take the request.
+    /// The only instance that may accept the request.
     pub instance: String,
     /// The caller's workspace.
     pub workspace: Option<WorkspaceId>,
-    /// Name under which cache is kept and found.
+    /// Salt of the cache keys.
     pub cache_salt: Option<String>,
-    /// The only weight version that may serve it.
+    /// The only weight version that may serve the request.
     pub weights: Option<u64>,
-    /// Rank at the target; 0 goes first.
+    /// Priority at the target; 0 is the highest.
     pub priority: Option<u8>,
-    /// Last event that the caller has; replaces what the caller sent.
+    /// Last event that the caller received; replaces the caller's own header.
     pub resume_after: Option<String>,
-    /// Kept cache to use.
+    /// Kept cache to fetch and save.
     pub cache: CachePlan,
 }
 
-/// Load that a target reports with an answer.
+/// Load that a target reports in an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ResponseLoad {
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Queued requests.
     pub waiting: u32,
-    /// Requests that can run at once.
+    /// Number of requests that can run concurrently.
     pub slots: u32,
 }
 
-/// What the head of a target's answer says, beside status and content.
+/// Metadata of a target's answer, read from its status and headers.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct AnswerFacts {
-    /// Request that it answers.
+    /// Identifier of the answered request.
     pub id: Option<String>,
     /// Whether the target states that it has not run the request.
     pub is_not_run: bool,
-    /// Whether another instance or another weight version holds the address.
+    /// Whether another instance or weight version now has the address.
     pub is_misdirected: bool,
     /// Load of the target.
     pub load: Option<ResponseLoad>,
-    /// Weight version that served it.
+    /// Weight version that served the request.
     pub weights: Option<u64>,
-    /// Time for which the target keeps the connection open without use.
+    /// Time for which the target keeps an idle connection open.
     pub keep_alive: Option<Duration>,
     /// Whether the target closes the connection after the answer.
     pub is_closing: bool,
--- a/components/gateway/src/control/follow.rs
+++ b/components/gateway/src/control/follow.rs
@@ -10,31 +10,31 @@
 use crate::ports::{Changes, Snapshot, StoreError, Table};
 use crate::telemetry::GaugeValues;
 
-/// Longest wait of the store for a change: a connection that has gone silent is noticed after it.
+/// Longest wait of the store for a change; bounds the time until a silent connection is noticed.
 const FOLLOW_WAIT: Duration = Duration::from_millis(3_000);
-/// The same for what hosts share, which none depends on from one moment to the next.
+/// Longest wait for changes of the shared table, which no host needs within seconds.
 const FOLLOW_SHARED_WAIT: Duration = Duration::from_secs(15);
-/// Pause after a change of targets, so that many changes in a row take few calls. Well below the time within which a host must
-/// have stopped to use a target that leaves.
+/// Pause after a change of targets, which batches changes in quick succession into few calls. Well below the
+/// time within which a host must stop using a leaving target.
 const TARGETS_PAUSE: Duration = Duration::from_millis(600);
-/// The same for what hosts share.
+/// Pause after a change of the shared table.
 const SHARED_PAUSE: Duration = Duration::from_millis(2_000);
-/// First pause after a failed call.
+/// First backoff after a failed call.
 const FIRST_BACKOFF: Duration = Duration::from_millis(150);
-/// Longest pause after failed calls.
+/// Longest backoff after failed calls.
 const MAX_BACKOFF: Duration = Duration::from_millis(900);
 
-/// What a call to the store brought.
+/// Result of a call to the store.
 enum Fetched {
-    /// A whole table.
+    /// The whole table.
     Whole(Snapshot),
-    /// What changed.
+    /// Changed rows.
     Changed(Snapshot),
-    /// Nothing; the table has to be read again.
+    /// No rows; the table must be read in full.
     Compacted,
 }
 
-/// Keeps the host's copy of a table up to date.
+/// Keeps the host's replica of a table up to date.
 pub(crate) async fn follow(control: Arc<Control>, table: Table) {
     let mut backoff = FIRST_BACKOFF;
     let mut needs_full_read = false;
@@ -66,7 +66,7 @@
     }
 }
 
-/// Pause before a table is asked for again.
+/// Returns the pause before the next call for a table.
 fn pause_after(table: Table, changed: &Snapshot) -> Duration {
     match table {
         Table::Targets if !changed.records.is_empty() => TARGETS_PAUSE,
@@ -95,7 +95,7 @@
     })
 }
 
-/// Does what only time brings about.
+/// Runs time-driven updates: expires cached entries, cleans the traffic state and records gauges.
 pub(crate) async fn tick(control: Arc<Control>) {
     loop {
         smol::Timer::after(TICK_INTERVAL).await;
--- a/components/gateway/src/control/kept_updates.rs
+++ b/components/gateway/src/control/kept_updates.rs
@@ -15,57 +15,57 @@
 use crate::jitter::jittered;
 use crate::kept::{KeptEvent, PartKey, StoreUpdate};
 
-/// Path on which hosts that follow stores of kept cache pass on what they hear.
+/// Path on which hosts that follow stores of kept cache forward changes to other hosts.
 pub(super) const PATH: &str = "/kept";
-/// Pause between questions.
+/// Interval between polls.
 const POLL_INTERVAL: Duration = Duration::from_millis(700);
 
-/// Asks for changes of the stores of a region.
+/// Requests the changes of the stores of a region.
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize)]
 pub(super) struct KeptQuery {
     /// Region of the stores.
     region: RegionId,
-    /// Where the last answer ended; nothing in the first question to a host.
+    /// Position at the end of the last answer; `None` in the first query to a host.
     from: Option<Cursor>,
 }
 
-/// Where an answer ended.
+/// Position at the end of an answer.
 #[derive(Debug, Clone, Default)]
 #[derive(Serialize, Deserialize)]
 struct Cursor {
-    /// Run of the host that answered.
+    /// Incarnation of the host that answered.
     incarnation: Incarnation,
     /// Number of the next change by store.
     numbers: BTreeMap<Arc<str>, u64>,
 }
 
-/// What changed.
+/// Changes of the stores of a region.
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize)]
 pub(super) struct KeptAnswer {
-    /// Where the next question goes on.
+    /// Position at which the next query continues.
     next: Cursor,
     /// The stores' clock, in milliseconds.
     clock_ms: Option<u64>,
-    /// Salts that the changes name by index.
+    /// Salts, to which the changes refer by index.
     salts: Vec<Box<str>>,
-    /// News by store.
+    /// Updates by store.
     stores: Vec<(Arc<str>, PackedUpdate)>,
 }
 
-/// [`StoreUpdate`] with salts named by index.
+/// [`StoreUpdate`] with salts replaced by indexes.
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize)]
 struct PackedUpdate {
     epoch: Option<u64>,
     age: Duration,
     is_all: bool,
-    /// Salt, part, and the tokens that are stored.
+    /// Index of the salt, part, and number of stored tokens.
     events: Vec<(u16, Box<str>, Option<u32>)>,
 }
 
-/// Collects salts, so that each is sent once.
+/// Collects salts, each of which is sent once and referenced by index.
 #[derive(Default)]
 struct Salts {
     names: Vec<Box<str>>,
@@ -112,7 +112,7 @@
     }
 }
 
-/// Answers a host that does not follow the stores of a region itself.
+/// Answers a query from a host that does not follow the stores of a region itself.
 pub(super) fn answer(control: &Control, query: &KeptQuery) -> KeptAnswer {
     let view = control.traffic.view.load_full();
     let now = control.traffic.now();
@@ -142,7 +142,7 @@
     }
 }
 
-/// Keeps up with the stores that this host does not follow itself.
+/// Polls other hosts for changes of the stores that this host does not follow itself.
 pub(crate) async fn poll_watchers(control: Arc<Control>) {
     let cfg = ClientConfig {
         idle_per_address: 1,
@@ -162,7 +162,7 @@
     }
 }
 
-/// Regions with stores that this host does not follow.
+/// Returns the regions with stores that this host does not follow.
 fn unwatched(control: &Control, view: &View) -> Vec<RegionId> {
     let own = &control.traffic.settings.name;
     let stores = declared_stores(view);
@@ -176,7 +176,7 @@
     regions
 }
 
-/// The host that is asked about a region's stores, and how far it has told.
+/// The host that is polled for a region's stores and the position reached.
 #[derive(Default)]
 struct Source {
     watcher: Option<SocketAddr>,
@@ -184,7 +184,7 @@
 }
 
 impl Source {
-    /// Asks for changes; false if there is no answer, so that another host is asked next.
+    /// Polls for changes. Returns false if there is no answer, in which case another host is polled next.
     async fn poll(&mut self, control: &Control, client: &Client, view: &View, region: &RegionId) -> bool {
         let Some(peer) = self.watcher.or_else(|| choose_watcher(control, view, region)) else {
             return false;
@@ -212,7 +212,7 @@
     }
 }
 
-/// A host that follows the stores of a region.
+/// Chooses a random host that follows the stores of a region.
 fn choose_watcher(control: &Control, view: &View, region: &RegionId) -> Option<SocketAddr> {
     let mut stores = declared_stores(view);
     let store = stores.find(|store| region_of(control, store) == Some(region))?;
--- a/components/gateway/src/control/loads.rs
+++ b/components/gateway/src/control/loads.rs
@@ -12,31 +12,32 @@
 use crate::load::ReportedLoad;
 use crate::{Target, View, is_sole_owner};
 
-/// Path on which hosts pass on what engines have reported.
+/// Path on which hosts forward load reports of engines.
 pub(super) const PATH: &str = "/loads";
-/// Entry hosts from which on answers tell a host too little of each engine: every host meets an engine only now and then.
+/// Number of entry hosts from which on engines are polled for their load. With so many hosts, each receives
+/// answers from an engine too rarely to estimate its load.
 const MIN_HOSTS_FOR_REPORTERS: usize = 16;
-/// Hosts of a region that share its engines among them.
+/// Number of hosts that share the polling of a region's engines.
 const REPORTERS_PER_REGION: usize = 3;
-/// Pause between reports of an engine; it renews them every few hundred milliseconds.
+/// Interval between polls of an engine, which renews its report every few hundred milliseconds.
 const REPORT_INTERVAL: Duration = Duration::from_millis(400);
-/// Pause between questions to the hosts that ask engines.
+/// Interval between queries to the hosts that poll engines.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Asks for the reports that a host has.
+/// Requests the load reports that a host has.
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize)]
 pub(super) struct LoadsQuery;
 
-/// What engines have reported, with the age of each report.
+/// Load reports of engines with the age of each report.
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize)]
 pub(super) struct LoadsAnswer {
-    /// By run of the engine.
+    /// Run of the engine, its load and the age of the report.
     reports: Vec<(TargetId, ReportedLoad, Duration)>,
 }
 
-/// Answers another host.
+/// Answers a query from another host.
 pub(super) fn answer(control: &Control, _query: &LoadsQuery) -> LoadsAnswer {
     let now = control.traffic.now();
     let reports = control.reports();
@@ -50,7 +51,7 @@
     }
 }
 
-/// Asks the engines that fall to this host for their load.
+/// Polls the engines assigned to this host for their load.
 pub(crate) async fn poll_engines(control: Arc<Control>) {
     loop {
         smol::Timer::after(jittered(REPORT_INTERVAL, 0.1)).await;
@@ -84,7 +85,7 @@
     control.traffic.record_report(&target.run, report.load, now);
 }
 
-/// Learns from the hosts that ask engines what these reported.
+/// Queries the hosts that poll engines for the load reports.
 pub(crate) async fn poll_reporters(control: Arc<Control>) {
     let cfg = ClientConfig {
         idle_per_address: 1,
@@ -117,7 +118,7 @@
     }
 }
 
-/// Hosts that ask the engines of each region; none in a small deployment.
+/// Returns the hosts that poll the engines of each region; empty in a small deployment.
 fn reporters_by_region(control: &Control, view: &View) -> BTreeMap<RegionId, Vec<HostId>> {
     if view.hosts.len() < MIN_HOSTS_FOR_REPORTERS {
         return BTreeMap::new();
@@ -131,7 +132,7 @@
     reporters.collect()
 }
 
-/// Engines of which this host is the one that asks.
+/// Returns the engines that this host polls.
 fn assigned_engines(control: &Control, view: &View) -> Vec<Arc<Target>> {
     let own = &control.traffic.settings.name;
     let mut reporters = reporters_by_region(control, view);
--- a/components/gateway/src/control/mod.rs
+++ b/components/gateway/src/control/mod.rs
@@ -1,4 +1,5 @@
-//! The control thread: follows the store and other hosts, publishes what the host believes, and orders weights.
+//! The control thread: follows the store and other hosts, publishes views of the cached state and orders
+//! weights.
 
 mod follow;
 mod kept_updates;
@@ -24,26 +25,26 @@
 use crate::quarantine::Crash;
 use crate::traffic::Traffic;
 
-/// Pause between looks at what only time changes.
+/// Interval of time-driven updates.
 const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The control thread's state.
+/// State of the control thread.
 pub(crate) struct Control {
-    /// Shared with the traffic thread.
+    /// State shared with the traffic thread.
     pub traffic: Arc<Traffic>,
     /// The platform's store.
     pub store: Arc<dyn RecordStore>,
-    /// Engines.
+    /// Client of the engines.
     pub engines: Arc<dyn EngineControl>,
-    /// Stores of kept cache.
+    /// Client of the stores of kept cache.
     pub stores: Arc<dyn KeptStores>,
-    /// Run of this process.
+    /// Incarnation of this process.
     pub incarnation: Incarnation,
-    /// Runs the control thread's tasks.
+    /// Executor of the control thread's tasks.
     pub ex: Executor,
-    /// What the host believes.
+    /// The host's cached state.
     cached_state: Mutex<CachedState>,
-    /// What the engines that this host asks have reported, and when.
+    /// Last report of each engine that this host polls, with its time.
     reports: Mutex<HashMap<TargetId, (ReportedLoad, Monotonic)>>,
 }
 
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Runs until `stop` resolves.
+    /// Runs the control thread's tasks until `stop` resolves, then deregisters the host.
     pub(crate) async fn run(self: Arc<Self>, crashed: async_channel::Receiver<Crash>, stop: Shutdown) {
         let tasks = [
             self.ex.spawn(follow::follow(self.clone(), Table::Declared)),
@@ -93,34 +94,35 @@
         register::deregister(&self).await;
     }
 
-    /// What the host believes.
+    /// Locks the host's cached state.
     pub(crate) fn cached_state(&self) -> MutexGuard<'_, CachedState> {
         self.cached_state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What the engines that this host asks have reported.
+    /// Locks the reports of the engines that this host polls.
     pub(crate) fn reports(&self) -> MutexGuard<'_, HashMap<TargetId, (ReportedLoad, Monotonic)>> {
         self.reports.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes what the host believes and publishes it.
+    /// Applies a change to the cached state, logs unusable rows and publishes the new view.
     pub(crate) fn update(
         &self,
         change: impl FnOnce(&mut CachedState) -> Vec<error_stack::Report<UnusableRecord>>,
     ) {
         let mut state = self.cached_state();
         for unusable in change(&mut state) {
-            warn!(self.traffic.log, "unusable row"; events::RECORD_UNUSABLE, "error" => format!("{unusable:?}"));
+            warn!(self.traffic.log, "row can not be used"; events::RECORD_UNUSABLE,
+                "error" => format!("{unusable:?}"));
         }
         let Some(view) = state.publish() else { return };
-        info!(self.traffic.log, "beliefs changed"; events::BELIEFS_CHANGED,
+        info!(self.traffic.log, "cached state changed"; events::BELIEFS_CHANGED,
             "declared" => view.declared.as_ref().map_or(0, |d| d.version),
             "targets" => view.targets.values().map(Vec::len).sum::<usize>(),
             "hosts" => view.hosts.len());
         self.traffic.view.store(Arc::new(view));
     }
 
-    /// A call to the store was answered, or failed.
+    /// Records whether a call to the store succeeded, and logs the start and the end of an outage.
     pub(crate) fn record_store_call(&self, is_answered: bool) {
         let log = &self.traffic.log;
         let now = self.traffic.now();
--- a/components/gateway/src/control/orders.rs
+++ b/components/gateway/src/control/orders.rs
@@ -14,34 +14,34 @@
 
 /// Key of the lease's row.
 const LEASE_KEY: &str = "lease";
-/// Time for which a write of the row lets its holder give orders.
+/// Length of the lease after a write of its row.
 const LEASE_LENGTH: Duration = Duration::from_millis(2_100);
-/// Orders stop this long before the lease lapses.
+/// Time before the end of the lease at which orders stop.
 const LEASE_MARGIN: Duration = Duration::from_millis(300);
-/// Most loads that the row holds.
+/// Most load slots in the row.
 const MAX_LOADS: usize = 64;
-/// Hosts that are prepared to hold the lease.
+/// Number of hosts that contend for the lease.
 const CONTENDERS: usize = 3;
-/// Pause between steps of the holder.
+/// Interval between steps of the lease holder.
 const HOLDER_INTERVAL: Duration = Duration::from_millis(100);
-/// Pause between looks of a host that does not hold the lease.
+/// Interval between steps of a host that does not hold the lease.
 const STANDBY_INTERVAL: Duration = Duration::from_millis(700);
-/// What becomes of requests that run at an engine that gets new weights.
+/// How running requests are treated at an engine that loads new weights.
 const RUNNING_REQUESTS: RunningRequests = RunningRequests::Continue;
-/// Names what the contenders are ranked for.
+/// Name of the duty for which the contenders are ranked.
 const DUTY: &[u8] = b"orders";
 
-/// State of the host's part in giving orders.
+/// State of the lease for orders and the rollout at this host.
 struct Orders {
-    /// The control thread.
+    /// State of the control thread.
     control: Arc<Control>,
     /// The lease.
     lease: Mutex<OrderLease>,
-    /// The loads.
+    /// Progress of the rollout.
     rollout: Mutex<Rollout>,
 }
 
-/// Takes part in the lease for orders; gives orders while it is held.
+/// Contends for the lease for orders and gives orders while this host holds it.
 pub(crate) async fn run_orders(control: Arc<Control>) {
     let settings = &control.traffic.settings;
     let own = Identity {
@@ -84,8 +84,8 @@
         self.lease().is_held(self.control.traffic.now())
     }
 
-    /// Whether this host is one of those that take the lease when nobody holds it. Entries of hosts that are gone may rank
-    /// first for a while; once weights are overdue, every host is.
+    /// Returns whether this host contends for the lease while no host holds it. Entries of failed hosts may
+    /// rank first for a while; once weights are overdue, every host with engines in its view contends.
     fn is_contender(&self) -> bool {
         let traffic = &self.control.traffic;
         let view = traffic.view.load();
@@ -200,7 +200,8 @@
 
     async fn load(&self, target: &Target, weights: DesiredWeights, revision: u64) {
         let is_fenced = self.control.traffic.settings.bounds.is_fenced;
-        // Right before the send: a process that stood still must not give an order with a lapsed lease.
+        // Checked right before the send: a process that was paused must not give an order with an expired
+        // lease.
         let epoch = {
             let now = self.control.traffic.now();
             self.lease().epoch_for(&target.run, is_fenced, now)
--- a/components/gateway/src/control/peers.rs
+++ b/components/gateway/src/control/peers.rs
@@ -20,40 +20,41 @@
 use crate::jitter::jittered;
 use crate::ports::Table;
 
-/// Path on which hosts tell each other what changed.
+/// Path on which hosts exchange changes of the replicated tables.
 const CHANGES_PATH: &str = "/changes";
-/// Pause between questions while the store does not answer.
+/// Interval between queries while the store does not answer.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Longest time for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
 /// Longest message, in bytes.
 const MAX_MESSAGE_BYTES: usize = 16 << 20;
-/// Tables that hosts pass on.
+/// Tables that hosts forward to each other.
 const REPLICATED_TABLES: [Table; 3] = [Table::Declared, Table::Targets, Table::Shared];
 
-/// What a host knows already.
+/// Requests the changes after the versions that a host has.
 #[derive(Debug, Clone, Default)]
 #[derive(Serialize, Deserialize)]
 struct ChangesQuery {
-    /// Versions of the tables.
+    /// Complete version of each table; 0 for none.
     known: Vec<(Table, u64)>,
 }
 
-/// What another host knows beyond that.
+/// Changes after the queried versions.
 #[derive(Debug, Clone, Default)]
 #[derive(Serialize, Deserialize)]
 struct ChangesAnswer {
-    /// What each table has that the other host lacks; tables of which this host can't speak are left out.
+    /// Update of each table. Tables whose changes the answering host can't determine are left out.
     changes: Vec<(Table, TableUpdate)>,
 }
 
-/// Answers other hosts until `stop` resolves.
+/// Answers queries from other hosts until `stop` resolves.
 pub(crate) async fn serve(control: Arc<Control>, stop: Shutdown) {
     let addr = control.traffic.settings.peers;
     let server = match Server::bind(addr, ServerConfig::default()) {
         Ok(server) => server,
         Err(e) => {
-            warn!(control.traffic.log, "no listener for other hosts"; events::CONNECTION_FAILED, "error" => %e);
+            warn!(control.traffic.log, "can not listen for other hosts"; events::CONNECTION_FAILED,
+                "error" => %e);
             let _ = stop.recv().await;
             return;
         }
@@ -105,7 +106,7 @@
     }
 }
 
-/// Asks other hosts for changes while the store does not answer.
+/// Queries other hosts for changes while the store does not answer, or until this host can serve requests.
 pub(crate) async fn poll_peers(control: Arc<Control>) {
     let cfg = ClientConfig {
         response_timeout: ANSWER_TIMEOUT,
@@ -133,7 +134,7 @@
     }
 }
 
-/// Any host that is known from the store, else one of the seeds.
+/// Chooses a random peer among the registered hosts and the seeds.
 fn choose_peer(control: &Control) -> Option<SocketAddr> {
     let settings = &control.traffic.settings;
     let view = control.traffic.view.load();
@@ -143,7 +144,7 @@
     peers.choose(&mut rand::rng()).copied()
 }
 
-/// Sends a host a question; `None` if no answer comes in time, or none that can be read.
+/// Sends a query to a host. Returns `None` if no readable answer arrives in time.
 pub(super) async fn send_query<Q: Serialize, A: DeserializeOwned>(
     client: &Client,
     peer: SocketAddr,
@@ -172,7 +173,8 @@
     let now = control.traffic.now();
     let rows: usize = answer.changes.iter().map(|(_, update)| update.row_count()).sum();
     if rows > 0 {
-        info!(control.traffic.log, "another host told"; events::PEER_READ, "peer" => %peer, "rows" => rows);
+        info!(control.traffic.log, "received changes from another host"; events::PEER_READ,
+            "peer" => %peer, "rows" => rows);
     }
     for (table, update) in answer.changes {
         control.update(|state| state.apply_update(table, update, now));
--- a/components/gateway/src/control/register.rs
+++ b/components/gateway/src/control/register.rs
@@ -15,24 +15,24 @@
 use crate::quarantine::Crash;
 use crate::view::HostEntry;
 
-/// Pause between looks whether the host is still registered.
+/// Interval between checks that the host is still registered.
 const REGISTER_INTERVAL: Duration = Duration::from_secs(4);
-/// Pause between questions to random other hosts.
+/// Mean interval between checks of a random other host.
 const PEER_CHECK_INTERVAL: Duration = Duration::from_secs(15);
-/// Pause before a host that did not answer is asked again.
+/// Delay before a host that did not accept a connection is checked again.
 const RECHECK_DELAY: Duration = Duration::from_secs(4);
-/// Pause before a failed write is tried again.
+/// Delay before a failed write is retried.
 const WRITE_RETRY_DELAY: Duration = Duration::from_millis(700);
-/// Longest time that a leaving host spends on its entry.
+/// Longest time that a leaving host spends on the removal of its entry.
 const DEREGISTER_TIMEOUT: Duration = Duration::from_millis(300);
-/// Longest time for a target or host that is up to take a connection.
+/// Longest time for a reachable target or host to accept a connection.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Pause between looks for old crashes.
+/// Interval between removals of expired crashes.
 const CRASH_CLEANUP_INTERVAL: Duration = Duration::from_secs(15);
-/// Tries to tell the others of a request that crashes targets.
+/// Attempts to write a crash to the shared table.
 const CRASH_WRITE_ATTEMPTS: usize = 5;
 
-/// Keeps the host registered, so that others can ask it and share limits with it.
+/// Keeps the host registered; other hosts query it and share limits with it.
 pub(crate) async fn register(control: Arc<Control>) {
     let settings = &control.traffic.settings;
     let entry = HostEntry {
@@ -58,8 +58,9 @@
     }
 }
 
-/// Removes the entries of hosts that are gone for good. Each host asks a random other one now and then, so that every host is
-/// asked about once an interval however many there are. A host that was only cut off registers again.
+/// Removes the entries of hosts that have failed. Each host checks a random other host per interval, so each
+/// host is checked about once per interval, independent of their number. A host that was only partitioned
+/// registers again.
 pub(crate) async fn remove_unreachable_hosts(control: Arc<Control>) {
     loop {
         smol::Timer::after(jittered(PEER_CHECK_INTERVAL, 0.3)).await;
@@ -82,17 +83,18 @@
             expect: version,
             ..shared_write(key, None)
         };
-        // Refused if the host has registered again meanwhile; another host tries if the store is away.
+        // Refused if the host has registered again in the meantime. If the store is down, another host tries
+        // later.
         let is_removed = control.store.write(remove).await.is_ok();
-        info!(control.traffic.log, "a host is silent"; events::HOST_SILENT,
+        info!(control.traffic.log, "host does not accept connections"; events::HOST_SILENT,
             "silent" => &*host.name, "asked_to_remove" => is_removed);
     }
 }
 
-/// Removes the host's entry; without effect while the store is away.
+/// Removes the host's entry; has no effect while the store is down.
 pub(crate) async fn deregister(control: &Control) {
     let remove = async {
-        // A leaving host has nobody to tell; its entry only makes the others' shares smaller.
+        // A failure is ignored: a stale entry only reduces the other hosts' shares of global limits.
         let _ = control.store.write(host_entry_write(control, None)).await;
     };
     let late = async {
@@ -105,10 +107,11 @@
     shared_write(format!("{HOST_PREFIX}{}", control.traffic.settings.name), value)
 }
 
-/// Tells all hosts of targets that went down with a request aboard.
+/// Writes crashes of targets with the request that was running to the shared table, from which all hosts read
+/// them.
 pub(crate) async fn report_crashes(control: Arc<Control>, crashed: async_channel::Receiver<Crash>) {
     while let Ok(crash) = crashed.recv().await {
-        // A connection that broke off is no crash while its target still takes others.
+        // The first broken connection is not reported as a crash if the target still accepts connections.
         if crash.count == 1 && is_reachable(crash.address).await {
             continue;
         }
@@ -132,7 +135,7 @@
     }
 }
 
-/// Whether a target or host takes connections.
+/// Returns whether a target or host accepts connections.
 async fn is_reachable(address: SocketAddr) -> bool {
     let connect = async { TcpStream::connect(address).await.is_ok() };
     let late = async {
@@ -142,7 +145,7 @@
     connect.or(late).await
 }
 
-/// Removes old crashes from the shared table, each by one host.
+/// Removes expired crashes from the shared table. Each crash is removed by its owner among the hosts.
 pub(crate) async fn remove_expired_crashes(control: Arc<Control>) {
     loop {
         smol::Timer::after(CRASH_CLEANUP_INTERVAL).await;
@@ -159,7 +162,7 @@
     }
 }
 
-/// A write to the shared table.
+/// Creates an unconditional write to the shared table.
 fn shared_write(key: String, value: Option<Vec<u8>>) -> RecordWrite {
     RecordWrite {
         table: Table::Shared,
--- a/components/gateway/src/control/stores.rs
+++ b/components/gateway/src/control/stores.rs
@@ -11,20 +11,20 @@
 use crate::view::WeightsHistory;
 use crate::{StoreSpec, View, is_sole_owner};
 
-/// Pause between looks at which stores are declared.
+/// Interval between checks of the declared stores.
 const VIEW_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Longest wait of a store for changes.
 const MAX_CHANGE_WAIT: Duration = Duration::from_millis(1_000);
-/// Pause between questions, so that a busy store is asked for many changes at once.
+/// Pause between polls, which batches the changes of a busy store into few answers.
 const POLL_PAUSE: Duration = Duration::from_millis(700);
-/// Pause after a store did not answer.
+/// Pause after a failed poll of a store.
 const FAILURE_PAUSE: Duration = Duration::from_millis(400);
-/// Questions of a store's limit that are left to engines and restarting hosts.
+/// Polls within a store's limit that are reserved for engines and restarting hosts.
 const RESERVED_POLLS: usize = 2;
 /// Most parts that are dropped with one call.
 const MAX_DROPPED_PARTS: usize = 1_000;
 
-/// Follows the stores that are declared.
+/// Follows the declared stores that this host watches.
 pub(crate) async fn follow_stores(control: Arc<Control>) {
     let mut watches: BTreeMap<Arc<str>, smol::Task<()>> = BTreeMap::new();
     let mut seen = Arc::default();
@@ -50,19 +50,20 @@
     }
 }
 
-/// Stores that are declared.
+/// Returns the declared stores.
 pub(super) fn declared_stores(view: &View) -> impl Iterator<Item = StoreSpec> {
     let services = view.declared.iter().flat_map(|declared| declared.services());
     services.filter_map(|service| service.store.clone())
 }
 
-/// Region of a store.
+/// Returns the region of a store.
 pub(super) fn region_of<'a>(control: &'a Control, store: &StoreSpec) -> Option<&'a RegionId> {
     control.traffic.settings.regions.get(&store.domain)
 }
 
-/// Hosts that follow a store. It answers a limited number of hosts; the same ones follow all stores of its region and pass on
-/// what they hear, so that another host asks one of them about all. They stand in the region if it has enough hosts.
+/// Returns the hosts that follow a store. A store answers a limited number of polls, so the same hosts follow
+/// all stores of a region and forward their changes; any other host queries one of them for the whole region.
+/// They are hosts of the region if it has enough.
 pub(super) fn watchers(control: &Control, view: &View, store: &StoreSpec) -> Vec<HostId> {
     let limit = (store.concurrent_polls as usize)
         .saturating_sub(RESERVED_POLLS)
@@ -90,22 +91,22 @@
     }
 }
 
-/// Logs that a store's run has come or gone.
+/// Logs the start of a store's run and the loss of a store.
 fn log_run_change(control: &Control, store: &StoreSpec, before: Option<u64>, current: Option<u64>) {
     let log = &control.traffic.log;
     match current {
         Some(run) if before != current => {
-            info!(log, "a store of kept cache answers"; events::KEPT_HEARD, "store" => &*store.address,
+            info!(log, "store of kept cache answers"; events::KEPT_HEARD, "store" => &*store.address,
                 "domain" => &*store.domain, "capacity_tokens" => store.capacity_tokens, "run" => run);
         }
         None if before.is_some() => {
-            warn!(log, "a store of kept cache is silent"; events::KEPT_LOST, "store" => &*store.address);
+            warn!(log, "store of kept cache does not answer"; events::KEPT_LOST, "store" => &*store.address);
         }
         _ => {}
     }
 }
 
-/// Asks a store what changed, or for all that it holds; false if it did not answer.
+/// Polls a store for changes, or for the list of its content. Returns false if it did not answer.
 async fn poll(control: &Control, store: &StoreSpec) -> bool {
     let sent_at = control.traffic.now();
     let (next, needs_list) = {
@@ -141,7 +142,8 @@
     true
 }
 
-/// Has the store drop what replaced weights have made, once nobody fetches it any more. One of the hosts that follow it does so.
+/// Drops parts made by replaced weights from a store once no host fetches them any more. Only one of the
+/// hosts that follow the store does so.
 async fn drop_outdated(control: &Control, store: &StoreSpec) {
     let view = control.traffic.view.load_full();
     let watchers = watchers(control, &view, store);
@@ -162,7 +164,7 @@
         .await
         .is_ok()
     {
-        info!(control.traffic.log, "dropped cache of old weights"; events::KEPT_DROPPED,
+        info!(control.traffic.log, "dropped kept cache of replaced weights"; events::KEPT_DROPPED,
             "store" => &*store.address, "parts" => outdated.len());
         control
             .traffic
@@ -172,7 +174,8 @@
     }
 }
 
-/// Parts made by weights that were replaced long enough ago for every host.
+/// Returns the parts made by weights that were replaced long enough ago for every host, with the run of the
+/// store.
 fn outdated_parts(control: &Control, view: &View, store: &StoreSpec) -> Option<(u64, Vec<PartKey>)> {
     let now = control.traffic.now();
     let mut kept = control.traffic.kept();
@@ -180,7 +183,8 @@
     let since = cached.run_since()?;
     let is_settled = |history: &WeightsHistory, weights: u64| {
         let replaced_at = history.replaced_at(weights);
-        // What was replaced before this host started was so at the latest when it first heard of the store.
+        // Weights replaced before this host started were replaced at the latest when it first polled the
+        // store successfully.
         replaced_at.is_some_and(|at| now >= at.unwrap_or(since) + OLD_WEIGHTS_DROP_DELAY)
     };
     let is_outdated = |key: &&PartKey| {
--- a/components/gateway/src/daemon.rs
+++ b/components/gateway/src/daemon.rs
@@ -19,51 +19,51 @@
 use crate::traffic::{DrainSchedule, Traffic, serve};
 use crate::{GatewayError, HostSettings};
 
-/// Longest silence of a caller's connection.
+/// Idle timeout of a caller's connection.
 const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(16);
 /// Largest head of a request, in bytes.
 const MAX_HEAD_BYTES: usize = 32 << 10;
 /// Most headers of a request.
 const MAX_HEADERS: usize = 100;
-/// Fingerprints that wait to be told to other hosts.
+/// Capacity of the queue of crashes that wait to be reported to other hosts.
 const CRASH_QUEUE_CAPACITY: usize = 256;
-/// Part of the grace in which the balancer notices that a host is not ready any more, and in which any request is still taken.
-/// After it only those are taken that end before the process does.
+/// Share of the shutdown grace in which the balancer notices that the host is not ready and all requests are
+/// still accepted. After it, only requests that can finish before the process ends are accepted.
 const ACCEPT_SHARE: f64 = 0.33;
-/// Part of the grace that is left for ending the process.
+/// Part of the shutdown grace reserved for ending the process.
 const EXIT_RESERVE: Duration = Duration::from_millis(250);
-/// Part of the grace that is left for closing connections.
+/// Part of the shutdown grace reserved for closing connections.
 const CLOSE_RESERVE: Duration = Duration::from_millis(150);
-/// Path of the metrics, beside the balancer's question.
+/// Path of the metrics, served on the listener for readiness checks.
 const METRICS_PATH: &str = "/metrics";
-/// Pause between looks at a leaving host's work.
+/// Interval between checks for open requests during a drain.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a platform brings to a daemon.
+/// Implementations of the ports, provided by a platform.
 pub struct PlatformPorts {
     /// The store, built on the executor of the control thread.
     pub store: Arc<dyn RecordStore>,
-    /// Engines, as the store.
+    /// Engines, built on the same executor.
     pub engines: Arc<dyn EngineControl>,
-    /// Stores of kept cache, as the store.
+    /// Stores of kept cache, built on the same executor.
     pub stores: Arc<dyn KeptStores>,
-    /// Reads rows.
+    /// Decodes rows.
     pub decode: Arc<dyn Decode>,
-    /// Reads and writes heads.
+    /// Reads and writes the heads of requests and answers.
     pub heads: Arc<dyn Heads>,
 }
 
-/// A running entry host on a platform: one thread for control state, one for traffic.
+/// A running entry host on a platform, with one thread for control state and one for traffic.
 pub struct Daemon {
     /// State of the traffic thread.
     traffic: Arc<Traffic>,
-    /// Dropped to close the connections that callers have kept, once their requests are finished.
+    /// Dropped to close callers' keep-alive connections after their open requests.
     stop_keep_alive: async_channel::Sender<()>,
-    /// Dropped to end the traffic thread.
+    /// Dropped to stop the traffic thread once open requests are finished.
     stop_traffic: async_channel::Sender<()>,
-    /// Dropped to end the traffic thread without finishing open work.
+    /// Dropped to stop the traffic thread without finishing open requests.
     abort_traffic: async_channel::Sender<()>,
-    /// Dropped to end the control thread.
+    /// Dropped to stop the control thread.
     stop_control: async_channel::Sender<()>,
     /// The traffic thread.
     traffic_thread: JoinHandle<()>,
@@ -72,10 +72,11 @@
 }
 
 impl Daemon {
-    /// Starts the threads of an entry host; `parts` are built on the control thread's executor.
+    /// Starts the threads of an entry host. `ports` builds the platform's ports on the control thread's
+    /// executor.
     ///
     /// # Errors
-    /// [`GatewayError::Listen`] for an address that is taken; nothing runs then.
+    /// [`GatewayError::Listen`] if an address can not be listened on; no thread runs then.
     pub fn start(
         settings: HostSettings,
         ports: impl FnOnce(&Executor) -> PlatformPorts,
@@ -123,11 +124,12 @@
         })
     }
 
-    /// Reports not ready and serves what still comes until the balancer has noticed. Takes only what it can finish then, ends as
-    /// soon as nothing is open, at the latest with the grace, and joins the threads.
+    /// Drains the host and joins its threads. Reports not ready and serves all requests until the balancer
+    /// has noticed, then accepts only requests that can finish in time. Ends as soon as no request is open,
+    /// at the latest with the shutdown grace.
     ///
     /// # Errors
-    /// [`GatewayError::Panicked`] if a thread did not end by itself.
+    /// [`GatewayError::Panicked`] if a thread panicked.
     pub fn drain(self) -> Result<(), Report<GatewayError>> {
         let traffic = &self.traffic;
         let log = traffic.log.clone();
@@ -156,7 +158,7 @@
     }
 }
 
-/// Waits until nothing is open, at most until the last moment to close connections in order.
+/// Waits until no request is open, at most until connections must be closed.
 fn wait_until_idle(traffic: &Traffic, ends_at: Monotonic) {
     let last = ends_at.saturating_sub(CLOSE_RESERVE);
     while traffic.now() < last && traffic.in_flight.load(Ordering::Acquire) > 0 {
@@ -164,13 +166,14 @@
     }
 }
 
-/// What ends the traffic thread, each resolved when its sender is dropped.
+/// Shutdown signals of the traffic thread. Each resolves when its sender is dropped.
 struct ShutdownSignals {
-    /// Connections that callers have kept are closed; new ones are still taken, as a balancer without another host sends them.
+    /// Closes keep-alive connections. New connections are still accepted, since a balancer without another
+    /// host keeps sending them.
     stop_keep_alive: Shutdown,
-    /// Nothing is taken any more; what is open is finished.
+    /// Stops accepting connections; open requests are finished.
     stop: Shutdown,
-    /// What is open is cut.
+    /// Aborts open requests.
     abort: Shutdown,
 }
 
@@ -182,7 +185,7 @@
 ) {
     let log = traffic.log.clone();
     if let Err(e) = serve_callers(traffic, callers, readiness, signals) {
-        slog::error!(log, "can not listen"; events::CONNECTION_FAILED, "error" => %e);
+        slog::error!(log, "can not listen for callers"; events::CONNECTION_FAILED, "error" => %e);
     }
 }
 
--- a/components/gateway/src/declared.rs
+++ b/components/gateway/src/declared.rs
@@ -4,14 +4,14 @@
 
 use utils::{FailureDomainId, ModelId, ServiceId, WorkspaceId};
 
-/// What may be repeated on a route.
+/// Whether requests of a route can be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetrySafety {
     /// A request may run more than once.
     Idempotent,
     /// A request may run at most once.
     AtMostOnce,
-    /// The answer is a stream of events; it may go on at another target if `resumable`.
+    /// The answer is a stream of events; it can continue at another target if `resumable`.
     Stream {
         /// Whether another target can continue after a given event.
         resumable: bool,
@@ -19,42 +19,42 @@
 }
 
 impl RetrySafety {
-    /// Whether a request that may have run may be sent again.
+    /// Returns whether a request that may have run can be sent again.
     pub fn is_idempotent(self) -> bool {
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
 
-    /// Whether the answer is a stream of events.
+    /// Returns whether the answer is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
 }
 
-/// A service that takes a share of a route's requests.
+/// A service that receives a share of a route's requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceShare {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceId,
-    /// Weight against the other services of the route.
+    /// Weight relative to the other services of the route.
     pub weight: u32,
 }
 
-/// A route: which requests it takes and how they are served.
+/// A route: which requests it matches and how they are served.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Name for logs.
+    /// Name used in logs.
     pub name: Arc<str>,
     /// Value of the `Host` header, without a port.
     pub host: String,
-    /// Start of the path.
+    /// Path prefix.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests can be retried.
     pub retry_safety: RetrySafety,
-    /// Longest time until the final answer.
+    /// Longest time until the complete answer.
     pub timeout: Duration,
-    /// Time within which an answer is worth most.
+    /// Latency up to which an answer has its full value.
     pub latency_target: Duration,
-    /// Rank; 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
     /// Services that serve the route.
     pub services: Vec<ServiceShare>,
@@ -64,12 +64,12 @@
     pub is_anonymous: bool,
 }
 
-/// A model engine's size.
+/// Capacity of a model engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineSpec {
-    /// Requests that run at once.
+    /// Number of requests that run concurrently.
     pub slots: u32,
-    /// Tokens that its memory holds.
+    /// Capacity of its cache memory, in tokens.
     pub memory_tokens: u64,
     /// Models that it serves.
     pub models: Vec<ModelId>,
@@ -78,68 +78,68 @@
 /// A store of kept cache.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoreSpec {
-    /// Address as text, as engines expect it.
+    /// Address in the text form that engines expect.
     pub address: Arc<str>,
-    /// Where it stands.
+    /// Failure domain of the store.
     pub domain: FailureDomainId,
-    /// Tokens that it holds.
+    /// Capacity in tokens.
     pub capacity_tokens: u64,
-    /// Questions for changes that it answers at once.
+    /// Number of concurrent polls for changes that it answers.
     pub concurrent_polls: u32,
 }
 
-/// A service.
+/// A declared service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
     /// Name.
     pub name: ServiceId,
-    /// Connections that one of its targets accepts from all callers together.
+    /// Connections that each of its targets accepts from all callers together.
     pub connection_limit: u32,
-    /// Size of its engines, if it serves models.
+    /// Capacity of its engines, if it serves models.
     pub engine: Option<EngineSpec>,
-    /// Kept cache, if it is a store.
+    /// The store of kept cache, if the service is one.
     pub store: Option<StoreSpec>,
 }
 
-/// A workspace.
+/// A declared workspace.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Workspace {
     /// Name.
     pub name: WorkspaceId,
-    /// Rank of its requests; goes before the route's.
+    /// Priority of its requests; overrides the priority of the route.
     pub priority: Option<u8>,
     /// Whether it shares no cache with other workspaces.
     pub is_isolated: bool,
 }
 
-/// Limits on what callers send.
+/// Limits on requests from callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
     /// Largest body, in bytes.
     pub body_bytes: usize,
 }
 
-/// Weights that the operator has named for a model.
+/// The weight version that the operator has declared for a model.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DesiredWeights {
-    /// The model.
+    /// Name of the model.
     pub model: ModelId,
-    /// Version that its engines should have.
+    /// Version that its engines should load.
     pub version: u64,
 }
 
-/// Everything that the operator has declared, as of one version.
+/// The configuration declared by the operator, as of one version.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Declared {
-    /// Version; grows with every change.
+    /// Version; increases with every change.
     pub version: u64,
-    /// Limits on callers.
+    /// Limits on requests from callers.
     pub limits: CallerLimits,
     /// Routes by host, longest prefix first.
     routes: HashMap<String, Vec<Arc<Route>>>,
     /// Services by name.
     services: HashMap<ServiceId, Arc<Service>>,
-    /// Workspaces by API key; `None` if no keys are needed.
+    /// Workspaces by API key; `None` if requests need no key.
     keys: Option<HashMap<String, Arc<Workspace>>>,
 }
 
@@ -172,28 +172,29 @@
         }
     }
 
-    /// The route of a request: among the host's routes the one with the longest prefix of the path.
+    /// Returns the route of a request: among the host's routes, the one with the longest matching path
+    /// prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let list = self.routes.get(host)?;
         list.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// A service by name.
+    /// Returns a service by name.
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
 
-    /// All services.
+    /// Returns all services.
     pub fn services(&self) -> impl Iterator<Item = &Arc<Service>> {
         self.services.values()
     }
 
-    /// Whether requests need an API key.
+    /// Returns whether requests need an API key.
     pub fn needs_keys(&self) -> bool {
         self.keys.is_some()
     }
 
-    /// The workspace that holds an API key.
+    /// Returns the workspace of an API key.
     pub fn workspace(&self, key: &str) -> Option<&Arc<Workspace>> {
         self.keys.as_ref()?.get(key)
     }
--- a/components/gateway/src/error.rs
+++ b/components/gateway/src/error.rs
@@ -1,16 +1,16 @@
 use std::net::SocketAddr;
 
-/// Why a gateway could not start or run on.
+/// Errors of starting and running a gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum GatewayError {
-    /// An address can not be listened on.
+    /// The gateway can not listen on the address.
     #[error("can not listen on {0}")]
     Listen(SocketAddr),
     /// A thread could not be started.
     #[error("a thread could not be started")]
     Thread,
-    /// A thread ended by a panic.
+    /// A thread panicked.
     #[error("a thread panicked")]
     Panicked,
 }
--- a/components/gateway/src/freshness.rs
+++ b/components/gateway/src/freshness.rs
@@ -4,24 +4,26 @@
 
 use crate::view::WeightsHistory;
 
-/// Time after naming in which weights that were replaced are as good as the new ones.
+/// Time after a declaration during which replaced weights are used like the new ones.
 const FULL_USE_PERIOD: Duration = Duration::from_millis(1_000);
-/// Part of the deadline after which nothing is sent to old weights any more; a request may wait at the engine before it begins.
+/// Share of the deadline after which no request is sent to replaced weights. The rest covers the time that a
+/// request may wait in the engine's queue before it starts.
 const SEND_CUTOFF_RATIO: f64 = 0.65;
 
-/// How weights that were replaced may be used.
+/// How replaced weights may be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OldWeightsPolicy {
-    /// As well as the new ones.
+    /// Like the new weights.
     Allowed,
-    /// If nothing better is to be had.
+    /// Only if no better target is available.
     Avoided,
     /// Not at all.
     Forbidden,
 }
 
-/// How an engine with weights of `version` may be used, `deadline` after naming being the last moment at which a request may
-/// begin on replaced ones. `is_rollout_started` says whether any engine has newer ones.
+/// Returns how an engine with weights `version` may be used. Requests must not start on replaced weights
+/// later than `deadline` after the declaration of newer ones. `is_rollout_started` says whether any engine
+/// has loaded newer weights.
 ///
 /// ```
 /// use std::time::Duration;
@@ -45,7 +47,8 @@
         return OldWeightsPolicy::Allowed;
     };
     let Some(replaced_at) = replaced_at else {
-        // Named before this host started. Engines that have them show that it is some time ago.
+        // The newer version was declared before this host started. If an engine has already loaded it, the
+        // declaration dates back some time.
         return if is_rollout_started {
             OldWeightsPolicy::Forbidden
         } else {
--- a/components/gateway/src/host.rs
+++ b/components/gateway/src/host.rs
@@ -4,24 +4,24 @@
 
 use utils::{FailureDomainId, HostId, RegionId};
 
-/// Bounds that the deployment sets.
+/// Bounds set by the deployment.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
-    /// Longest time to end after SIGTERM before the process is killed.
+    /// Time from SIGTERM until the process is killed.
     pub shutdown_grace: Duration,
-    /// Repeated requests of a service as a share of its requests, over all hosts.
+    /// Retries of a service as a share of its requests, over all hosts.
     pub retry_ratio: f64,
-    /// Repeated requests allowed beside that share in one window, over all hosts.
+    /// Retries allowed in one window in addition to that share, over all hosts.
     pub retry_slack: f64,
-    /// The window in which repeats are counted.
+    /// Window in which retries are counted.
     pub retry_window: Duration,
-    /// Shortest time between orders of two holders to one target.
+    /// Shortest time between orders of two lease holders to the same target.
     pub order_lease: Duration,
-    /// Time after which no request may begin on older weights.
+    /// Time after a declaration of weights from which no request may start on older weights.
     pub weights_deadline: Duration,
-    /// Whether targets refuse orders with an old fencing number.
+    /// Whether targets refuse orders with an outdated fencing token.
     pub is_fenced: bool,
-    /// Time for which an entry that is missing after an outage of the store may still come back.
+    /// How long an entry that is missing after an outage of the store stays listed.
     pub return_grace: Duration,
 }
 
@@ -30,41 +30,41 @@
 pub struct HostSettings {
     /// Name of the host.
     pub name: HostId,
-    /// Where it stands.
+    /// Failure domain of the host.
     pub domain: FailureDomainId,
     /// Region of that failure domain.
     pub region: RegionId,
     /// Region of each failure domain.
     pub regions: BTreeMap<FailureDomainId, RegionId>,
-    /// Listens for callers.
+    /// Address that listens for callers.
     pub callers: SocketAddr,
-    /// Answers the balancer's questions.
+    /// Address that answers the balancer's readiness checks.
     pub readiness: SocketAddr,
-    /// Listens for other entry hosts.
+    /// Address that listens for other entry hosts.
     pub peers: SocketAddr,
-    /// Other entry hosts to ask first.
+    /// Other entry hosts that are queried in addition to the registered ones.
     pub seeds: Vec<SocketAddr>,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Sockets that the process may open.
+    /// Number of sockets that the process may open.
     pub sockets: usize,
-    /// Bounds of the deployment.
+    /// Bounds set by the deployment.
     pub bounds: Bounds,
 }
 
-/// How far apart two failure domains are.
+/// Distance between two failure domains.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Distance {
     /// The same failure domain.
     SameDomain,
-    /// Another failure domain of the region.
+    /// Another failure domain of the same region.
     SameRegion,
     /// Another region.
     OtherRegion,
 }
 
 impl HostSettings {
-    /// How far a failure domain is from this host.
+    /// Returns the distance from this host to a failure domain.
     pub(crate) fn distance(&self, domain: &str) -> Distance {
         if *domain == *self.domain {
             return Distance::SameDomain;
--- a/components/gateway/src/lib.rs
+++ b/components/gateway/src/lib.rs
@@ -1,6 +1,8 @@
-//! Requests on declared routes: which workspace may call what, where a request runs, and how its answer comes back.
+//! The gateway: authorizes requests on declared routes, chooses the target that serves each request and
+//! relays its answer.
 //!
-//! The crate decides and knows no wire format. What a deployment's platform speaks is behind the traits in [`ports`].
+//! The crate contains the decisions and is independent of wire formats. The traits in [`ports`] cover the
+//! protocols of a deployment's platform.
 
 mod budget;
 mod cached_state;
--- a/components/gateway/src/ports.rs
+++ b/components/gateway/src/ports.rs
@@ -1,4 +1,4 @@
-//! What the gateway needs of a platform, as traits.
+//! Traits through which the gateway uses a platform.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,11 +16,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub enum Table {
-    /// What the operator declares.
+    /// Configuration declared by the operator.
     Declared,
     /// Entries of the targets.
     Targets,
-    /// State that the entry hosts share.
+    /// State shared by the entry hosts.
     Shared,
     /// The lease for orders to targets.
     Orders,
@@ -30,73 +30,73 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Record {
-    /// Key.
+    /// Key of the row.
     pub key: String,
-    /// Content; `None` for a row that was removed.
+    /// Content; `None` for a removed row.
     pub value: Option<Vec<u8>>,
-    /// Version of the last write; grows over all tables.
+    /// Version of the last write; increases over all tables.
     pub version: u64,
 }
 
-/// A whole table as of one moment.
+/// A table, or changed rows of it, as of one version.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Its rows.
+    /// Rows.
     pub records: Vec<Record>,
-    /// Newest version in the store at that moment.
+    /// Newest version in the store when the rows were read.
     pub version: u64,
 }
 
-/// What changed in a table.
+/// Result of waiting for changes of a table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Changes {
-    /// Rows that changed, oldest first; empty if none did within the wait.
+    /// Changed rows, oldest first; empty if no row changed within the wait.
     Delta(Snapshot),
-    /// The store has forgotten what changed since; the table must be read again.
+    /// The store no longer has all changes after the requested version; the table must be read in full.
     Compacted,
 }
 
-/// A write of one row under a condition.
+/// A conditional write of one row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RecordWrite {
     /// Table of the row.
     pub table: Table,
     /// Key of the row.
     pub key: String,
-    /// Version that the row must have, 0 if it must not exist; no condition if `None`.
+    /// Version that the row must have, 0 if it must not exist; `None` for an unconditional write.
     pub expect: Option<u64>,
-    /// New content; removes the row if `None`.
+    /// New content; `None` removes the row.
     pub value: Option<Vec<u8>>,
 }
 
-/// How a write ended.
+/// Result of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecordWritten {
-    /// It took effect with this version.
+    /// The write was applied with this version.
     Applied(u64),
     /// The condition did not hold.
     Refused,
 }
 
-/// Why a call to the store failed.
+/// Errors of calls to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum StoreError {
-    /// The store turned the call away; nothing was done.
+    /// The store rejected the call with this status; nothing was done.
     #[error("the store turned the call away with status {0}")]
     Rejected(u16),
-    /// No connection, or no answer in time; a write may have taken effect.
+    /// No connection or no answer in time; a write may have been applied.
     #[error("the store did not answer")]
     NoResponse,
-    /// The answer can not be read.
+    /// The answer can not be parsed.
     #[error("the store's answer can not be read")]
     Malformed,
 }
 
 /// The platform's store.
 pub trait RecordStore: Send + Sync {
-    /// Reads a table.
+    /// Reads a whole table.
     fn read(&self, table: Table) -> BoxFuture<'_, Result<Snapshot, Report<StoreError>>>;
 
     /// Waits at most `wait` for changes after a version.
@@ -111,121 +111,121 @@
     fn write(&self, write: RecordWrite) -> BoxFuture<'_, Result<RecordWritten, Report<StoreError>>>;
 }
 
-/// A row that names something the gateway does not know, or that can not be read.
+/// Error for a row that names something unknown to the gateway or can not be parsed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 #[error("the row can not be used")]
 pub struct UnusableRecord;
 
-/// What a row of [`Table::Declared`] holds.
+/// Content of a row of [`Table::Declared`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum DeclaredRecord {
     /// Routes, services, workspaces and limits.
     All(Box<Declared>),
-    /// Weights named for a model.
+    /// Weight version declared for a model.
     Weights(DesiredWeights),
-    /// Something that the gateway does not use.
+    /// Content that the gateway does not use.
     Other,
 }
 
-/// Reads the platform's rows.
+/// Decodes the platform's rows.
 pub trait Decode: Send + Sync {
-    /// A row of [`Table::Declared`].
+    /// Decodes a row of [`Table::Declared`].
     ///
     /// # Errors
-    /// [`UnusableRecord`] for content that can not be read.
+    /// [`UnusableRecord`] for content that can not be parsed.
     fn declared(&self, record: &Record) -> Result<DeclaredRecord, Report<UnusableRecord>>;
 
-    /// A row of [`Table::Targets`].
+    /// Decodes a row of [`Table::Targets`].
     ///
     /// # Errors
-    /// [`UnusableRecord`] for content that names no target.
+    /// [`UnusableRecord`] for content that describes no target.
     fn target(&self, record: &Record) -> Result<Target, Report<UnusableRecord>>;
 }
 
 /// Reads and writes the heads of requests and answers.
 pub trait Heads: Send + Sync {
-    /// What a caller's request says.
+    /// Reads the metadata of a caller's request.
     fn read_call(&self, headers: &HeaderMap) -> CallFacts;
 
-    /// Replaces what is the gateway's to set in the head of a request to a target.
+    /// Sets the headers that the gateway owns in a request to a target.
     fn write_send(&self, headers: &mut HeaderMap, facts: &SendFacts);
 
-    /// What a target's answer says.
+    /// Reads the metadata of a target's answer.
     fn read_answer(&self, status: u16, headers: &HeaderMap) -> AnswerFacts;
 
-    /// The path on which the balancer asks whether the host is ready.
+    /// Returns the path of the balancer's readiness checks.
     fn readiness_path(&self) -> &str;
 }
 
-/// What an engine reports of itself.
+/// State reported by an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct EngineReport {
-    /// Start of its process.
+    /// Start time of its process, in milliseconds since the Unix epoch.
     pub born_ms: u64,
-    /// Versions by model.
+    /// Loaded weight version of each model.
     pub models: Vec<(utils::ModelId, u64)>,
-    /// Whether an order is being carried out.
+    /// Whether an order is in progress.
     pub is_busy: bool,
-    /// Orders accepted since its start.
+    /// Number of orders accepted since the start of the process.
     pub revision: u64,
-    /// What it has to do.
+    /// Load of the engine.
     pub load: ReportedLoad,
 }
 
-/// What becomes of requests that run when their engine changes its weights.
+/// How running requests are treated when their engine changes its weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunningRequests {
-    /// They end first; the engine takes nothing new until then.
+    /// They finish first; the engine starts no new requests until then.
     Finish,
-    /// They go on with the cache that they have.
+    /// They continue with the cache that they have.
     Continue,
 }
 
 /// An order to load weights.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WeightsOrder {
-    /// The instance that it is meant for.
+    /// Name of the instance that must execute the order.
     pub instance: String,
-    /// The model.
+    /// Name of the model.
     pub model: utils::ModelId,
-    /// The version to load.
+    /// Weight version to load.
     pub version: u64,
-    /// What becomes of running requests.
+    /// How running requests are treated.
     pub running: RunningRequests,
-    /// Who gives the order.
+    /// Name of the lease holder that gives the order.
     pub holder: String,
-    /// Fencing number.
+    /// Fencing token.
     pub epoch: u64,
-    /// Orders that the engine must have accepted before.
+    /// Number of orders that the engine must have accepted before this one.
     pub revision: u64,
 }
 
 /// An engine's answer to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It is carried out.
+    /// The engine executes the order.
     Accepted,
-    /// It held already.
+    /// The engine already has the weights.
     Holds,
     /// Another order is in progress, or the number of accepted orders differs.
     Conflict,
-    /// It will not be carried out.
+    /// The engine rejected the order with this status.
     Rejected(u16),
 }
 
-/// No answer from an engine; an order may be carried out later.
+/// Error for an engine that did not answer; an order may still be executed later.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 #[error("the engine did not answer")]
 pub struct EngineUnavailable;
 
-/// Reports and orders of engines.
+/// Calls to engines.
 pub trait EngineControl: Send + Sync {
-    /// Asks an engine for its state.
+    /// Queries the state of an engine.
     fn report(&self, address: SocketAddr) -> BoxFuture<'_, Result<EngineReport, Report<EngineUnavailable>>>;
 
-    /// Gives an engine an order.
+    /// Sends an order to an engine.
     fn order(
         &self,
         address: SocketAddr,
@@ -233,15 +233,15 @@
     ) -> BoxFuture<'_, Result<OrderAnswer, Report<EngineUnavailable>>>;
 }
 
-/// A store of kept cache did not answer, or refused.
+/// Error for a store of kept cache that did not answer or refused the call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 #[error("the store of kept cache did not answer")]
 pub struct KeptStoreUnavailable;
 
-/// Stores of kept cache.
+/// Calls to stores of kept cache.
 pub trait KeptStores: Send + Sync {
-    /// Waits at most `wait` for changes.
+    /// Waits at most `wait` for changes after the position `since`.
     fn changes<'a>(
         &'a self,
         address: &'a str,
@@ -249,11 +249,11 @@
         wait: Duration,
     ) -> BoxFuture<'a, Result<StoreChanges, Report<KeptStoreUnavailable>>>;
 
-    /// All that a store holds.
+    /// Lists everything that a store holds.
     fn list<'a>(&'a self, address: &'a str)
     -> BoxFuture<'a, Result<StoreList, Report<KeptStoreUnavailable>>>;
 
-    /// Has a store drop parts, if it is still in the given run.
+    /// Deletes parts from a store if it is still in the run `epoch`.
     fn drop_parts<'a>(
         &'a self,
         address: &'a str,
--- a/components/gateway/src/rows.rs
+++ b/components/gateway/src/rows.rs
@@ -6,54 +6,56 @@
 
 use crate::ports::{Record, Snapshot};
 
-/// Time for which a removed row is told to hosts that do not know of it; a host that is further behind gets the whole table.
+/// How long a tombstone is kept for updates to other hosts. A host that is further behind receives the whole
+/// table.
 pub(crate) const TOMBSTONE_RETENTION: Duration = Duration::from_secs(60);
 
-/// What a host tells another one of a table.
+/// An update of a table sent from one host to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum TableUpdate {
-    /// Rows that changed since the version that was asked for.
+    /// Rows that changed after the requested version.
     Newer(Snapshot),
     /// The whole table.
     All(Snapshot),
 }
 
 impl TableUpdate {
-    /// Number of rows.
+    /// Returns the number of rows.
     pub(crate) fn row_count(&self) -> usize {
         let (Self::Newer(snapshot) | Self::All(snapshot)) = self;
         snapshot.records.len()
     }
 }
 
-/// A host's copy of a table of the store. Versions only grow.
+/// A host's replica of a table of the store. Versions only increase.
 #[derive(Debug, Default)]
 pub(crate) struct Rows {
-    /// Rows that are there, by key.
+    /// Existing rows by key.
     live: BTreeMap<String, Record>,
-    /// Rows that were removed lately, by key, with the moment at which this host learned of it.
+    /// Tombstones of recently removed rows by key, with the time at which this host received the removal.
     tombstones: BTreeMap<String, (Record, Monotonic)>,
-    /// Newest version that was heard of.
+    /// Newest version received.
     version: u64,
-    /// Newest version of a removal that is not remembered any more.
+    /// Newest version of a purged tombstone.
     purged_version: u64,
-    /// Whether the table was ever read whole.
+    /// Whether the table has been read in full.
     is_complete: bool,
 }
 
 impl Rows {
-    /// The version up to which the table is known, once it was read whole.
+    /// Returns the version up to which the table is complete; `None` until it has been read in full.
     pub(crate) fn complete_version(&self) -> Option<u64> {
         self.is_complete.then_some(self.version)
     }
 
-    /// Version of a row that is there.
+    /// Returns the version of an existing row.
     pub(crate) fn version_of(&self, key: &str) -> Option<u64> {
         self.live.get(key).map(|row| row.version)
     }
 
-    /// What a host lacks that knows the table up to a version.
+    /// Returns the update from `version` to the current version: the changed rows, or the whole table if
+    /// tombstones newer than `version` have been purged.
     pub(crate) fn changes_since(&self, version: u64) -> TableUpdate {
         let snapshot = |rows: &mut dyn Iterator<Item = &Record>| Snapshot {
             records: rows.cloned().collect(),
@@ -69,7 +71,7 @@
         TableUpdate::Newer(snapshot(&mut rows.filter(|row| row.version > version)))
     }
 
-    /// Takes rows that changed; returns those that are applied.
+    /// Applies changed rows. Returns those newer than the replica.
     pub(crate) fn apply(&mut self, changed: Snapshot, now: Monotonic) -> Vec<Record> {
         let complete_version = self.complete_version();
         self.version = self.version.max(changed.version);
@@ -78,7 +80,8 @@
         applied
     }
 
-    /// Takes a whole table: rows that it lacks are gone. Returns what is news, `None` if the table is older than what is held.
+    /// Replaces the whole table and removes the rows missing from the snapshot. Returns the rows that
+    /// changed; `None` if the snapshot is older than the replica.
     pub(crate) fn replace(&mut self, snapshot: Snapshot, now: Monotonic) -> Option<Vec<Record>> {
         if snapshot.version < self.version {
             return None;
@@ -98,7 +101,7 @@
         Some(applied)
     }
 
-    /// Forgets old removals.
+    /// Purges expired tombstones.
     pub(crate) fn purge_tombstones(&mut self, now: Monotonic) {
         let purged_version = &mut self.purged_version;
         self.tombstones.retain(|_, (row, at)| {
@@ -110,13 +113,13 @@
         });
     }
 
-    /// Removals that are remembered.
+    /// Returns the number of tombstones.
     pub(crate) fn tombstone_count(&self) -> usize {
         self.tombstones.len()
     }
 
-    /// Takes a row if it is newer than what is held. One that is not held, though the table is known up to its version, was
-    /// removed.
+    /// Applies a row if it is newer than the replica. A row that is absent although the table is complete up
+    /// to its version was removed, so it is ignored.
     fn apply_row(&mut self, record: &Record, complete_version: Option<u64>, now: Monotonic) -> bool {
         let live = self.live.get(&record.key);
         let removed = self.tombstones.get(&record.key).map(|(row, _)| row);
--- a/components/gateway/src/target.rs
+++ b/components/gateway/src/target.rs
@@ -2,31 +2,32 @@
 
 use utils::{FailureDomainId, ModelId, ServiceId, TargetId};
 
-/// A target as its platform entry describes it.
+/// A target, as described by its platform entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
-    /// Names this run of its process; see [`Target::run_of`].
+    /// Identifies this run of the process; see [`Target::run_of`].
     pub run: TargetId,
     /// Name of the instance.
     pub instance: String,
-    /// Start of its process, in milliseconds of the Unix time; differs after a restart under the same name.
+    /// Start time of the process, in milliseconds since the Unix epoch; differs after a restart under the
+    /// same name.
     pub born_ms: u64,
-    /// The service that it belongs to.
+    /// Service of the target.
     pub service: ServiceId,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Failure domain of the target.
     pub domain: FailureDomainId,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it is about to leave and may get nothing new.
+    /// Whether it is leaving and must receive no new requests.
     pub is_leaving: bool,
-    /// Weight versions of the models that it serves.
+    /// Models that it serves, with the weight version of each.
     pub models: Vec<(ModelId, u64)>,
 }
 
 impl Target {
-    /// Names the run of a process that started at a moment: a restart under the same name is another run.
+    /// Returns the identifier of a process run. A restart under the same name is another run.
     ///
     /// ```
     /// assert_ne!(gateway::Target::run_of("t1", 1), gateway::Target::run_of("t1", 2));
@@ -35,7 +36,7 @@
         format!("{instance}/{born_ms}").into()
     }
 
-    /// The version of a model that it serves.
+    /// Returns the weight version of a model, if the target serves it.
     pub fn weights_of(&self, model: &str) -> Option<u64> {
         let mut found = self.models.iter().filter(|(name, _)| &**name == model);
         found.next().map(|(_, version)| *version)
--- a/components/gateway/src/view.rs
+++ b/components/gateway/src/view.rs
@@ -8,43 +8,44 @@
 use crate::quarantine::Fingerprint;
 use crate::{Declared, Target};
 
-/// An entry host, as it registers itself in the shared table.
+/// An entry host, as registered in the shared table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct HostEntry {
-    /// Name.
+    /// Name of the host.
     pub name: HostId,
-    /// Where it stands.
+    /// Failure domain of the host.
     pub domain: FailureDomainId,
-    /// Where it listens for other entry hosts.
+    /// Address on which the host listens for other entry hosts.
     pub peers: SocketAddr,
 }
 
-/// Weights that were named for a model. Each version is due from its own naming, also when a newer one follows.
+/// The weight versions declared for a model. The deadline of each version runs from its own declaration, also
+/// when a newer version follows.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct WeightsHistory {
-    /// Versions, oldest first, with the moment at which this host learned of each; `None` if it was named before the host
-    /// started, nobody knows when.
+    /// Versions, oldest first, with the time at which this host received each; `None` if it was declared at
+    /// an unknown time before the host started.
     versions: Vec<(u64, Option<Monotonic>)>,
 }
 
 impl WeightsHistory {
-    /// Most versions remembered; engines are rarely that far behind.
+    /// Most versions kept; engines are rarely that far behind.
     const MAX_VERSIONS: usize = 16;
 
-    /// A version that was named.
+    /// Creates a history with one version.
     pub fn new(version: u64, received_at: Option<Monotonic>) -> Self {
         Self {
             versions: vec![(version, received_at)],
         }
     }
 
-    /// The newest version.
+    /// Returns the newest version; 0 if there is none.
     pub fn newest(&self) -> u64 {
         self.versions.last().map_or(0, |(version, _)| *version)
     }
 
-    /// Takes a newer version; an older one is ignored. True if it is newer.
+    /// Appends a version if it is newer than the newest one; returns whether it is.
     pub fn add(&mut self, version: u64, received_at: Option<Monotonic>) -> bool {
         let is_newer = version > self.newest();
         if is_newer {
@@ -56,22 +57,23 @@
         is_newer
     }
 
-    /// When the first version was named that replaced the given one; outer `None` if none did.
+    /// Returns when the first newer version was declared. The outer `None` means that there is no newer
+    /// version, the inner one that the time is unknown.
     pub fn replaced_at(&self, version: u64) -> Option<Option<Monotonic>> {
         let newer = self.versions.iter().find(|(named, _)| *named > version);
         newer.map(|(_, received_at)| *received_at)
     }
 
-    /// When the newest version was named, if this host has seen it.
+    /// Returns when the newest version was declared, if this host received it after its start.
     pub fn newest_at(&self) -> Option<Monotonic> {
         self.versions.last().and_then(|(_, received_at)| *received_at)
     }
 }
 
-/// Regions of the failure domains.
+/// Region of each failure domain.
 pub type Regions = BTreeMap<FailureDomainId, RegionId>;
 
-/// Which of some hosts does a task alone.
+/// Returns whether a host is the only owner of a task among the given hosts.
 ///
 /// ```
 /// let hosts = ["host-1".into(), "host-2".into()];
@@ -91,41 +93,42 @@
     order.iter().take(count).any(|name| *name == host)
 }
 
-/// What the host believes, as the traffic thread sees it. Immutable once published.
+/// Immutable snapshot of the host's cached state, read by the traffic thread.
 #[derive(Debug, Clone, Default)]
 pub struct View {
-    /// What is declared; `None` before the first is known.
+    /// Declared configuration; `None` until one is read.
     pub declared: Option<Arc<Declared>>,
-    /// Targets by service, leaving ones left out.
+    /// Targets by service, without those that are leaving.
     pub targets: HashMap<ServiceId, Vec<Arc<Target>>>,
-    /// Weights by model.
+    /// Declared weight versions by model.
     pub weights: HashMap<ModelId, WeightsHistory>,
-    /// Known entry hosts.
+    /// Registered entry hosts.
     pub hosts: BTreeMap<HostId, HostEntry>,
-    /// Requests that crash targets.
+    /// Fingerprints of quarantined requests.
     pub quarantined: HashSet<Fingerprint>,
-    /// Whether targets were ever read.
+    /// Whether the targets have been read in full.
     pub has_read_targets: bool,
 }
 
 impl View {
-    /// Whether the host can serve requests.
+    /// Returns whether the host can serve requests.
     pub fn can_serve(&self) -> bool {
         self.declared.is_some() && self.has_read_targets
     }
 
-    /// The targets of a service.
+    /// Returns the targets of a service.
     pub fn targets_of(&self, service: &str) -> &[Arc<Target>] {
         self.targets.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Whether a target is still listed in the same incarnation.
+    /// Returns whether a target is still listed with the same run.
     pub fn contains(&self, target: &Target) -> bool {
         let listed = self.targets_of(&target.service);
         listed.iter().any(|t| t.run == target.run)
     }
 
-    /// Whether a host is among the first `count` that own a duty. Every host that knows the same hosts says the same.
+    /// Returns whether a host is among the first `count` owners of a duty. Hosts with the same list of hosts
+    /// compute the same owners.
     ///
     /// ```
     /// assert!(!gateway::View::default().owns(b"orders", "host-1", 3));
@@ -134,8 +137,8 @@
         is_owner_among(self.hosts.keys(), duty, host, count)
     }
 
-    /// Hosts that do something for a region, the same at every host that knows the same hosts. They stand in the region if it has
-    /// enough.
+    /// Returns the owners of a duty for a region, taken from the region's hosts if it has at least `count`,
+    /// else from all hosts. Hosts with the same list of hosts compute the same owners.
     pub fn hosts_for(&self, regions: &Regions, region: &RegionId, duty: &str, count: usize) -> Vec<HostId> {
         let is_near = |host: &&HostEntry| regions.get(&host.domain) == Some(region);
         let near: Vec<_> = self.hosts.values().filter(is_near).collect();
@@ -148,7 +151,7 @@
         order.into_iter().take(count).map(HostId::from).collect()
     }
 
-    /// Entry hosts that share what is limited for all together; at least this one.
+    /// Returns the number of entry hosts that share global limits; at least 1.
     pub fn host_count(&self) -> usize {
         self.hosts.len().max(1)
     }
--- a/components/gateway/src/weights.rs
+++ b/components/gateway/src/weights.rs
@@ -9,70 +9,72 @@
 use crate::view::View;
 use crate::{DesiredWeights, Target};
 
-/// Age at which a report is asked for again while a load is under way.
+/// Age at which a report is queried again while a load is in progress.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(300);
-/// Time after which an order without a visible effect is given again.
+/// Time after which an order without a visible effect is sent again.
 const ORDER_RETRY_INTERVAL: Duration = Duration::from_millis(1_500);
-/// One engine in this many of a model may load at once; the others serve meanwhile.
+/// One in this many engines, but at least one, loads weights at a time; the others keep serving.
 const LOADING_DIVISOR: usize = 3;
 
-/// What to do next.
+/// An action for the holder of the lease.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RolloutAction {
-    /// Reserve a place among the loads.
+    /// Reserve a load slot.
     Start(LoadSlot),
-    /// Give the place back.
+    /// Release the load slot.
     End(TargetId),
-    /// Ask the engine for its state.
+    /// Query the engine's state.
     Query(Arc<Target>),
-    /// Order the load.
+    /// Order the engine to load weights.
     Load {
         /// The engine.
         target: Arc<Target>,
-        /// What to load.
+        /// Model and version to load.
         weights: DesiredWeights,
-        /// Orders that the engine must have accepted before.
+        /// Number of orders that the engine must have accepted before this one.
         revision: u64,
     },
 }
 
-/// What the machine is told.
+/// Input of the state machine.
 #[derive(Debug, Clone)]
 pub enum RolloutInput {
     /// An engine's report.
     Reported(EngineReport),
-    /// An engine's answer to an order; `None` if there was none.
+    /// An engine's answer to an order; `None` if it did not answer.
     Ordered(Option<OrderAnswer>),
-    /// No report came.
+    /// The query of an engine's report failed.
     NoReport,
 }
 
-/// What is known of an engine during a load.
+/// State of an engine while it loads weights.
 #[derive(Debug, Clone, Default)]
 struct Progress {
-    /// Last report.
+    /// Last report, until an order is answered.
     report: Option<EngineReport>,
-    /// When it was asked for last.
+    /// Time of the last query.
     queried_at: Option<Monotonic>,
-    /// When the last order was sent.
+    /// Time of the last order.
     ordered_at: Option<Monotonic>,
 }
 
-/// Brings engines to the weights that were named, a few at a time. A state machine without I/O: it compares what engines
-/// report with what was named, and repeats. An order that was lost or comes late does no harm, as each names the number
-/// of orders that the engine must have accepted before.
+/// Rolls out the declared weights to the engines, a limited number at a time. A state machine without I/O: it
+/// compares the engines' reports with the declared weights and repeats orders. A lost or late order is
+/// harmless, because each order carries the number of orders that the engine must have accepted before it.
 #[derive(Debug, Default)]
 pub struct Rollout {
-    /// Engines with a load under way.
+    /// Engines with a load in progress.
     progress: BTreeMap<TargetId, Progress>,
-    /// Versions that engines have reported; their entries follow later.
+    /// Versions that engines have reported as loaded before their entries show them.
     loaded: BTreeMap<TargetId, u64>,
 }
 
-/// Time after naming at which weights that no host orders are every host's business.
+/// Time after a declaration at which weights that no host has ordered count as overdue, so that every host
+/// contends for the lease.
 const OVERDUE_AFTER: Duration = Duration::from_secs(4);
 
-/// Whether weights were named a while ago and engines still lack them, so that any host may have to give orders.
+/// Returns whether engines still lack weights that were declared a while ago, in which case any host may need
+/// to give orders.
 ///
 /// ```
 /// use gateway::{View, is_overdue};
@@ -90,7 +92,7 @@
 }
 
 impl Rollout {
-    /// Takes what an engine said.
+    /// Records the result of a call to an engine.
     pub fn handle(&mut self, target: &Target, input: RolloutInput) {
         let progress = self.progress.entry(target.run.clone()).or_default();
         match input {
@@ -105,7 +107,7 @@
         }
     }
 
-    /// What to do next, given the loads that are reserved in the lease's row.
+    /// Returns the next actions, given the loads reserved in the lease's row.
     pub fn next(&mut self, view: &View, loads: &[LoadSlot], now: Monotonic) -> Vec<RolloutAction> {
         let mut actions = Vec::new();
         let mut outdated = outdated_engines(view);
@@ -175,7 +177,7 @@
     }
 }
 
-/// Engines whose entry shows older weights than were named.
+/// Returns the engines whose entry shows older weights than declared, with the weights to load.
 fn outdated_engines(view: &View) -> Vec<(Arc<Target>, DesiredWeights)> {
     let mut found = Vec::new();
     for target in view.targets.values().flatten() {
--- a/components/gateway/tests/beliefs.rs
+++ b/components/gateway/tests/beliefs.rs
@@ -1,4 +1,4 @@
-//! What a host believes, when the store answers late, stale or not at all.
+//! Cached state of a host when the store answers late, with stale data or not at all.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use gateway::{CachedState, TableUpdate, UpdateSource, View};
 use support::{decode, ms, removed, row, snapshot};
 
-/// Time for which an entry that is missing after an outage may still come back.
+/// How long an entry that is missing after an outage stays listed.
 const GRACE: Duration = Duration::from_millis(2_000);
 
 fn state() -> CachedState {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_host_is_able_once_it_knows_declarations_and_targets() {
+fn a_host_can_serve_once_it_has_read_declarations_and_targets() {
     let mut state = CachedState::new(decode(), GRACE);
     state.replace(Table::Targets, snapshot(1, []), UpdateSource::Store, ms(0));
     assert!(!state.publish().unwrap().can_serve());
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_stale_read_brings_nothing_back() {
+fn a_stale_read_does_not_undo_an_update() {
     let mut state = state();
     let newer = snapshot(9, [row("config", "declared 4", 9)]);
     state.apply(Table::Declared, newer, UpdateSource::Store, ms(10));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn an_older_declaration_in_a_newer_row_is_not_obeyed() {
+fn an_older_declaration_in_a_newer_row_is_ignored() {
     let mut state = state();
     let newer = snapshot(9, [row("config", "declared 2", 9)]);
     state.apply(Table::Declared, newer, UpdateSource::Store, ms(10));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_leaving_target_gets_nothing_new_at_once() {
+fn a_leaving_target_is_not_in_the_next_view() {
     let mut state = state();
     let leaving = snapshot(8, [row("t1", "target s 1 leaving", 8)]);
     state.apply(Table::Targets, leaving, UpdateSource::Store, ms(10));
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_forged_entry_names_no_target_and_harms_no_other() {
+fn an_unreadable_entry_lists_no_target_and_does_not_affect_others() {
     let mut state = state();
     let forged = snapshot(8, [row("t1", "nonsense", 8), row("t9", "target s x", 8)]);
     let unusable = state.apply(Table::Targets, forged, UpdateSource::Store, ms(10));
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn an_entry_that_vanishes_while_the_store_is_sound_is_gone() {
+fn an_entry_removed_while_the_store_is_up_is_not_listed() {
     let mut state = state();
     state.apply(
         Table::Targets,
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn entries_that_lapsed_in_an_outage_stay_until_the_grace_is_over() {
+fn entries_that_lapse_in_an_outage_stay_for_the_return_grace() {
     let mut state = state();
     assert!(state.store_failed());
     assert!(state.store_answered(ms(1_000)));
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn what_a_host_with_a_sound_store_calls_gone_is_gone_here_too() {
+fn a_removal_from_a_peer_is_final_during_an_outage() {
     let mut state = state();
     state.store_failed();
     state.apply(
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_host_tells_another_only_what_that_one_lacks() {
+fn an_update_has_only_rows_newer_than_the_requested_version() {
     let state = state();
     let Some(TableUpdate::Newer(update)) = state.changes_since(Table::Targets, 5) else {
         panic!("the other host lacks one row");
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_host_that_the_store_refuses_learns_all_from_another() {
+fn a_host_without_the_store_receives_the_full_state_from_a_peer() {
     let peer = state();
     let mut other = CachedState::new(decode(), GRACE);
     other.store_failed();
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn weights_named_before_the_start_have_no_known_age() {
+fn weights_declared_before_the_start_have_no_known_age() {
     let mut state = CachedState::new(decode(), GRACE);
     let first = snapshot(3, [row("version/m", "weights m 2", 3)]);
     state.replace(Table::Declared, first, UpdateSource::Store, ms(100));
@@ -160,8 +160,9 @@
     assert_eq!((history.newest(), history.newest_at()), (3, Some(ms(200))));
 }
 
+/// A host removes the entry of a failed host on the condition that its version is unchanged.
 #[test]
-fn a_hosts_entry_can_be_removed_only_as_it_was_seen() {
+fn version_of_gives_the_version_of_existing_rows_only() {
     let mut state = state();
     assert_eq!(state.version_of(Table::Targets, "t1"), Some(5));
     state.apply(
@@ -173,22 +174,22 @@
     assert_eq!(state.version_of(Table::Targets, "t1"), None);
 }
 
-/// A target of each of `count` replacements comes and goes, one a second.
+/// Adds and removes `count` targets, one per second.
 fn replace_often(state: &mut CachedState, count: u64) {
     for number in 0..count {
         let version = 100 + 2 * number;
         let now = ms(1_000 * number);
         let key = format!("new{number}");
-        let come = snapshot(version, [row(&key, "target s 1", version)]);
-        state.apply(Table::Targets, come, UpdateSource::Store, now);
-        let gone = snapshot(version + 1, [removed(&key, version + 1)]);
-        state.apply(Table::Targets, gone, UpdateSource::Store, now);
+        let added = snapshot(version, [row(&key, "target s 1", version)]);
+        state.apply(Table::Targets, added, UpdateSource::Store, now);
+        let removal = snapshot(version + 1, [removed(&key, version + 1)]);
+        state.apply(Table::Targets, removal, UpdateSource::Store, now);
         state.tick(now);
     }
 }
 
 #[test]
-fn removed_rows_are_remembered_for_a_minute() {
+fn tombstones_are_kept_for_a_minute() {
     let mut state = state();
     replace_often(&mut state, 1_000);
     assert!(
@@ -213,7 +214,7 @@
 }
 
 #[test]
-fn a_removal_that_is_forgotten_is_not_undone_by_an_older_row() {
+fn an_older_row_does_not_undo_a_removal_with_a_purged_tombstone() {
     let mut state = state();
     replace_often(&mut state, 200);
     let late = snapshot(101, [row("new0", "target s 1", 100)]);
@@ -222,7 +223,7 @@
 }
 
 #[test]
-fn a_host_does_not_call_targets_gone_that_may_only_have_lapsed() {
+fn unconfirmed_targets_are_not_reported_as_removed() {
     let mut peer = state();
     peer.store_failed();
     peer.store_answered(ms(1_000));
--- a/components/gateway/tests/duties.rs
+++ b/components/gateway/tests/duties.rs
@@ -1,9 +1,10 @@
-//! Who does what for a region: every host says the same, and what only followers of a store can do falls to one of them.
+//! Assignment of duties for a region: all hosts compute the same owners, and each task of a store's followers
+//! has exactly one owner.
 
 use gateway::{HostEntry, Regions, View, is_sole_owner};
 use utils::HostId;
 
-/// A view of `count` hosts, every other one in each of two regions.
+/// Returns a view of `count` hosts that alternate between two regions.
 fn view(count: usize) -> (View, Regions) {
     let mut view = View::default();
     for number in 0..count {
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn one_of_those_who_follow_a_store_drops_its_old_parts() {
+fn one_of_the_hosts_that_follow_a_store_drops_its_outdated_parts() {
     for count in [1, 9, 80, 340] {
         let (view, regions) = view(count);
         let watchers = view.hosts_for(&regions, &"north".into(), "kept", 10);
--- a/components/gateway/tests/support/mod.rs
+++ b/components/gateway/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A decoder of rows of a few words, and rows to feed it.
-// Each test file uses some of it.
+//! Test decoder for rows of plain words, and helpers that build such rows.
+// Each test file uses only some of the helpers.
 #![allow(dead_code)]
 
 use std::collections::HashMap;
@@ -10,7 +10,7 @@
 use gateway::ports::{DeclaredRecord, Decode, Record, Snapshot, UnusableRecord};
 use gateway::{CallerLimits, Declared, DesiredWeights, Target};
 
-/// Reads rows of the form `declared N`, `weights MODEL N` and `target SERVICE VERSION [leaving]`.
+/// Decodes rows of the form `declared N`, `weights MODEL N` and `target SERVICE VERSION [leaving]`.
 pub(crate) struct WordDecode;
 
 impl Decode for WordDecode {
@@ -52,7 +52,7 @@
     Ok(text.split_whitespace().map(str::to_owned).collect())
 }
 
-/// An engine with weights of model `m`.
+/// Returns an engine with weights of model `m`.
 pub(crate) fn target(instance: &str, version: u64) -> Target {
     Target {
         run: Target::run_of(instance, 1),
@@ -67,7 +67,7 @@
     }
 }
 
-/// A row.
+/// Returns an existing row.
 pub(crate) fn row(key: &str, value: &str, version: u64) -> Record {
     Record {
         key: key.to_owned(),
@@ -76,7 +76,7 @@
     }
 }
 
-/// A row that was removed.
+/// Returns a removed row.
 pub(crate) fn removed(key: &str, version: u64) -> Record {
     Record {
         key: key.to_owned(),
@@ -85,7 +85,7 @@
     }
 }
 
-/// Rows as of a version.
+/// Returns rows as of a version.
 pub(crate) fn snapshot(version: u64, records: impl Into<Vec<Record>>) -> Snapshot {
     Snapshot {
         records: records.into(),
@@ -93,12 +93,12 @@
     }
 }
 
-/// A decoder as the state machine takes it.
+/// Returns the test decoder.
 pub(crate) fn decode() -> Arc<dyn Decode> {
     Arc::new(WordDecode)
 }
 
-/// Milliseconds since the start.
+/// Returns a time in milliseconds since the start.
 pub(crate) fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
--- a/components/gateway/tests/weights.rs
+++ b/components/gateway/tests/weights.rs
@@ -1,4 +1,4 @@
-//! Bringing engines to named weights: orders that are lost, late or refused, and engines that restart.
+//! Rollout of declared weights to engines: lost, late and refused orders, and restarted engines.
 
 mod support;
 
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn an_order_is_given_only_after_a_report_and_names_the_orders_before_it() {
+fn an_order_is_sent_only_after_a_report_and_carries_its_revision() {
     let view = view(&[target("e", 1)]);
     let mut rollout = Rollout::default();
     let engine = target("e", 1);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn an_engine_that_reports_the_weights_gives_its_place_to_the_next_before_its_entry_shows_them() {
+fn an_engine_that_reports_the_weights_frees_its_slot_before_its_entry_shows_them() {
     let engines = [target("e", 1), target("f", 1)];
     let view = view(&engines);
     let mut rollout = Rollout::default();
@@ -116,14 +116,14 @@
 }
 
 #[test]
-fn a_load_of_an_engine_that_is_gone_gives_its_place_back() {
+fn a_load_of_a_removed_engine_frees_its_slot() {
     let view = view(&[target("f", 2)]);
     let orders = Rollout::default().next(&view, &[slot("e")], ms(0));
     assert!(matches!(&orders[..], [RolloutAction::End(id)] if **id == *"e/1"));
 }
 
 #[test]
-fn weights_named_before_the_start_forbid_old_ones_once_any_engine_has_them() {
+fn weights_declared_before_the_start_forbid_old_ones_once_any_engine_has_them() {
     let history = WeightsHistory::new(2, None);
     let deadline = ms(10_000);
     let at = |is_rollout_started| old_weights_policy(&history, 1, deadline, is_rollout_started, ms(60_000));
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_version_is_due_from_its_own_naming_also_when_a_newer_one_follows() {
+fn the_deadline_of_a_version_runs_from_its_own_declaration() {
     let mut history = WeightsHistory::new(1, None);
     assert!(history.add(2, Some(ms(2_000))));
     assert!(history.add(3, Some(ms(5_000))));
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn weights_that_nobody_orders_are_every_hosts_business_after_a_while() {
+fn weights_that_no_host_orders_become_overdue() {
     let outdated = view(&[target("e", 1), target("f", 2)]);
     assert!(!is_overdue(&outdated, ms(3_999)));
     assert!(is_overdue(&outdated, ms(4_000)));
