--- a/components/entry/src/control/peers.rs
+++ b/components/entry/src/control/peers.rs
@@ -143,8 +143,8 @@
                 }
                 Effect::ViewChanged => changed = true,
                 Effect::Log(event) => self.log(&event),
-                Effect::DemandHeard { from, demand } => self.demand.hear(from, &demand, now),
-                Effect::NotesHeard {
+                Effect::DemandReceived { from, demand } => self.demand.hear(from, &demand, now),
+                Effect::NotesReceived {
                     from,
                     incarnation,
                     probe_sent,
@@ -161,7 +161,7 @@
                         let _ = self.told.try_send(heard);
                     }
                 }
-                Effect::QuarantineHeard(_) => {}
+                Effect::QuarantineReceived(_) => {}
             }
         }
         changed.then(|| self.members(&self.membership.view(now)))
@@ -205,7 +205,7 @@
                 info!(log, "host does not answer"; events::PEER_SUSPECTED, "peer" => %id);
             }
             MembershipEvent::HostDead(id) => warn!(log, "host is gone"; events::PEER_DEAD, "peer" => %id),
-            MembershipEvent::HostBack(id) => {
+            MembershipEvent::HostRecovered(id) => {
                 info!(log, "host answers again"; events::PEER_BACK, "peer" => %id);
             }
             MembershipEvent::HostRestarted(id) => {
--- a/components/gateway/src/control/orders.rs
+++ b/components/gateway/src/control/orders.rs
@@ -52,7 +52,7 @@
     let rules = LeaseRules {
         length: LEASE_LENGTH,
         margin: LEASE_MARGIN,
-        flight: settings.bounds.order_lease,
+        max_order_latency: settings.bounds.order_lease,
         limit: MAX_LOADS,
     };
     let orders = Arc::new(Orders {
--- a/components/membership/src/exchange.rs
+++ b/components/membership/src/exchange.rs
@@ -74,15 +74,15 @@
             self.take_summary(*summary, read_at, now, effects);
         }
         for entry in heartbeat.quarantined {
-            effects.push(Effect::QuarantineHeard(entry));
+            effects.push(Effect::QuarantineReceived(entry));
         }
         if !heartbeat.demand.is_empty() {
-            effects.push(Effect::DemandHeard {
+            effects.push(Effect::DemandReceived {
                 from: from.clone(),
                 demand: heartbeat.demand,
             });
         }
-        effects.push(Effect::NotesHeard {
+        effects.push(Effect::NotesReceived {
             from: from.clone(),
             region: self.peers.get(from).map(|p| p.listed.region.clone()),
             incarnation: heartbeat.incarnation,
--- a/components/membership/src/hosts.rs
+++ b/components/membership/src/hosts.rs
@@ -7,7 +7,7 @@
 use crate::membership::is_entry;
 use crate::peer::Peer;
 use crate::pool::{distrusted, is_distrusted};
-use crate::{HeardHost, HostEntry, HostStatus, HostTag, Membership, Why, neighbours};
+use crate::{HostEntry, HostStatus, HostTag, Membership, ReachableHost, Why, neighbours};
 
 impl Membership {
     /// Takes the entry hosts of a new list; returns how many are kept although the list dropped them.
@@ -49,11 +49,11 @@
         hosts
     }
 
-    pub(crate) fn heard(&self) -> Vec<HeardHost> {
+    pub(crate) fn reachable_hosts(&self) -> Vec<ReachableHost> {
         self.peers
             .values()
             .filter_map(|peer| {
-                Some(HeardHost {
+                Some(ReachableHost {
                     host: peer.id().clone(),
                     region: peer.listed.region.clone(),
                     incarnation: peer.incarnation,
--- a/components/membership/src/input.rs
+++ b/components/membership/src/input.rs
@@ -55,7 +55,7 @@
     /// A host is taken for dead.
     HostDead(HostId),
     /// A host that was suspected or dead answers again.
-    HostBack(HostId),
+    HostRecovered(HostId),
     /// A host runs in a new incarnation.
     HostRestarted(HostId),
     /// Too many neighbours are silent at once.
@@ -85,7 +85,7 @@
     /// Write a log line.
     Log(MembershipEvent),
     /// State of the release notes at another host.
-    NotesHeard {
+    NotesReceived {
         /// The other host.
         from: HostId,
         /// Its region, if it is listed.
@@ -98,9 +98,9 @@
         notes: Vec<u8>,
     },
     /// A request is quarantined at another host.
-    QuarantineHeard(Quarantined),
+    QuarantineReceived(Quarantined),
     /// Demand of workspaces at another host.
-    DemandHeard {
+    DemandReceived {
         /// The other host.
         from: HostId,
         /// Its demand.
--- a/components/membership/src/lease.rs
+++ b/components/membership/src/lease.rs
@@ -45,7 +45,7 @@
     /// Orders stop this long before the lease lapses; covers the time between the check and the send.
     pub margin: Duration,
     /// Longest time from sending an order to its effect.
-    pub flight: Duration,
+    pub max_order_latency: Duration,
     /// Most weight loads at once, over all hosts.
     pub limit: usize,
 }
@@ -55,7 +55,7 @@
         Self {
             length: Duration::from_secs(10),
             margin: Duration::from_secs(1),
-            flight: Duration::from_secs(5),
+            max_order_latency: Duration::from_secs(5),
             limit: 2,
         }
     }
@@ -324,7 +324,7 @@
     /// Takes over a row that this host wrote; the lease runs from before the write was sent.
     fn hold(&mut self, pending: Pending, version: RowVersion, now: Monotonic) {
         if self.held.is_none() {
-            self.waits_until = pending.asked_at + self.rules.flight;
+            self.waits_until = pending.asked_at + self.rules.max_order_latency;
             self.inherited = self.loads().iter().map(|slot| slot.target.clone()).collect();
         }
         self.held = Some((pending.row.epoch, pending.asked_at + self.rules.length));
--- a/components/membership/src/lib.rs
+++ b/components/membership/src/lib.rs
@@ -36,4 +36,4 @@
 pub use polling::{Backoff, poll_interval};
 pub use rollout::{Installed, Rollout, Wanted};
 pub use tag::{HostTag, TargetTag, WorkspaceTag};
-pub use view::{HeardHost, HostEntry, MembershipView, TargetEntry, TargetLiveness, Why};
+pub use view::{HostEntry, MembershipView, ReachableHost, TargetEntry, TargetLiveness, Why};
--- a/components/membership/src/membership.rs
+++ b/components/membership/src/membership.rs
@@ -158,7 +158,7 @@
             isolated: self.isolated,
             hosts: self.host_entries(now),
             targets: self.targets.entries(now),
-            heard: self.heard(),
+            reachable: self.reachable_hosts(),
         }
     }
 
--- a/components/membership/src/probing.rs
+++ b/components/membership/src/probing.rs
@@ -175,7 +175,7 @@
             effects.push(Effect::ViewChanged);
         }
         if back {
-            effects.push(Effect::Log(MembershipEvent::HostBack(from.clone())));
+            effects.push(Effect::Log(MembershipEvent::HostRecovered(from.clone())));
             effects.push(Effect::ViewChanged);
         }
         Some(probe.sent)
--- a/components/membership/src/view.rs
+++ b/components/membership/src/view.rs
@@ -66,7 +66,7 @@
 
 /// A host that answered a probe of this host.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HeardHost {
+pub struct ReachableHost {
     /// The host.
     pub host: HostId,
     /// Its region.
@@ -91,7 +91,7 @@
     /// Targets by name.
     pub targets: BTreeMap<TargetId, TargetEntry>,
     /// Neighbours that answered, with the time of the probe.
-    pub heard: Vec<HeardHost>,
+    pub reachable: Vec<ReachableHost>,
 }
 
 impl MembershipView {
@@ -102,12 +102,12 @@
     /// use std::time::Duration;
     ///
     /// let view = membership::MembershipView::default();
-    /// assert_eq!(view.heard_since("north", Duration::ZERO), 0);
+    /// assert_eq!(view.reachable_since("north", Duration::ZERO), 0);
     /// ```
-    pub fn heard_since(&self, region: &str, since: Monotonic) -> usize {
-        self.heard
+    pub fn reachable_since(&self, region: &str, since: Monotonic) -> usize {
+        self.reachable
             .iter()
-            .filter(|heard| &*heard.region == region && heard.at >= since)
+            .filter(|host| &*host.region == region && host.at >= since)
             .count()
     }
 
--- a/components/membership/tests/liveness.rs
+++ b/components/membership/tests/liveness.rs
@@ -30,7 +30,7 @@
     }
     fresh.run(seconds(10));
     assert_eq!(fresh.events, []);
-    assert_eq!(fresh.view("entry-0").heard.len(), 2);
+    assert_eq!(fresh.view("entry-0").reachable.len(), 2);
 }
 
 #[test]
@@ -40,9 +40,9 @@
     assert_eq!(cluster.events, []);
     let recent = cluster.now - seconds(5);
     for (id, host) in &cluster.hosts {
-        let heard = cluster.view(id).heard;
-        assert_eq!(heard.len(), host.neighbours().len(), "at {id}");
-        assert!(heard.iter().all(|h| h.at >= recent), "at {id}");
+        let reachable = cluster.view(id).reachable;
+        assert_eq!(reachable.len(), host.neighbours().len(), "at {id}");
+        assert!(reachable.iter().all(|h| h.at >= recent), "at {id}");
     }
 }
 
@@ -83,11 +83,11 @@
     let resumed = cluster.now;
     cluster.paused.clear();
     let before = cluster.view("entry-0");
-    assert_eq!(before.heard_since("north", resumed - seconds(3)), 0);
+    assert_eq!(before.reachable_since("north", resumed - seconds(3)), 0);
     cluster.run(support::STEP);
     let view = cluster.view("entry-0");
     assert!(!view.current);
-    assert_eq!(view.heard_since("north", resumed - seconds(3)), 0);
+    assert_eq!(view.reachable_since("north", resumed - seconds(3)), 0);
     cluster.run(seconds(2));
     assert!(cluster.view("entry-0").current);
     let paused = |(id, event): &(_, MembershipEvent)| {
@@ -120,7 +120,7 @@
     let view = cluster.view("entry-0");
     assert!(view.isolated);
     assert_eq!(view.host_names("north").len(), 6);
-    assert_eq!(view.heard_since("north", cluster.now - seconds(3)), 0);
+    assert_eq!(view.reachable_since("north", cluster.now - seconds(3)), 0);
     assert_eq!(names(&cluster, "entry-1", "north"), 5);
     cluster.cut.clear();
     cluster.run(seconds(15));
--- a/components/peers/tests/sockets.rs
+++ b/components/peers/tests/sockets.rs
@@ -40,7 +40,7 @@
 fn all_heard(nodes: &[Node], least: usize) -> bool {
     nodes
         .iter()
-        .all(|n| n.view.lock().expect("lock").heard.len() >= least)
+        .all(|n| n.view.lock().expect("lock").reachable.len() >= least)
 }
 
 fn all_see(nodes: &[Node], hosts: usize) -> bool {
@@ -100,7 +100,14 @@
         assert_eq!(nodes[0].hosts("north"), 6);
         let now = utils::Clock::now(&*nodes[0].clock);
         let since = now - std::time::Duration::from_secs(3);
-        assert_eq!(nodes[0].view.lock().expect("lock").heard_since("north", since), 0);
+        assert_eq!(
+            nodes[0]
+                .view
+                .lock()
+                .expect("lock")
+                .reachable_since("north", since),
+            0
+        );
 
         rules.lock().expect("lock").blocked.clear();
         until("back", || all_see(&nodes, 6)).await;
@@ -124,7 +131,7 @@
         until("all heard on new connections", || {
             nodes.iter().zip(&lost).all(|(node, lost)| {
                 let view = node.view.lock().expect("lock");
-                view.heard_since("north", *lost) == 5
+                view.reachable_since("north", *lost) == 5
             })
         })
         .await;
--- a/specs/src/orders.rs
+++ b/specs/src/orders.rs
@@ -20,7 +20,7 @@
 const RULES: LeaseRules = LeaseRules {
     length: Duration::from_secs(2),
     margin: Duration::from_secs(1),
-    flight: Duration::from_secs(1),
+    max_order_latency: Duration::from_secs(1),
     limit: 1,
 };
 
@@ -210,7 +210,7 @@
             rules.margin = Duration::ZERO;
         }
         if self.has(OrdersMutant::NoWait) {
-            rules.flight = Duration::ZERO;
+            rules.max_order_latency = Duration::ZERO;
         }
         rules
     }
--- a/specs/src/orders/world.rs
+++ b/specs/src/orders/world.rs
@@ -10,7 +10,10 @@
     /// Time passes, unless an order must be sent or arrive first.
     pub(super) fn pass(&mut self, ticks: u64) -> Option<()> {
         let in_time = |since: u64, most: Duration| self.now < since + most.as_secs();
-        let flying = self.flying.iter().all(|f| in_time(f.sent_at, RULES.flight));
+        let flying = self
+            .flying
+            .iter()
+            .all(|f| in_time(f.sent_at, RULES.max_order_latency));
         let checked = self.hosts.iter().filter_map(|h| h.checked.as_ref());
         let sent = checked.into_iter().all(|c| in_time(c.at, RULES.margin));
         if !flying || !sent || self.now >= ticks {
