--- a/components/membership/examples/traffic.rs
+++ b/components/membership/examples/traffic.rs
@@ -1,4 +1,4 @@
-//! Prints control traffic, processor time and speed of news for several numbers of hosts.
+//! Prints control traffic, processor time and propagation delay of updates for several cluster sizes.
 
 use std::time::Duration;
 
--- a/components/membership/src/damping.rs
+++ b/components/membership/src/damping.rs
@@ -2,32 +2,33 @@
 
 use utils::Monotonic;
 
-/// Time in which half of the penalty for changes fades.
+/// Time in which the penalty decays by half.
 const HALF_LIFE: Duration = Duration::from_secs(30);
-/// Wait after the first failure before an answer makes the object usable again.
+/// Hold time at a penalty of 0; doubled for each unit of the penalty.
 const BASE_HOLD: Duration = Duration::from_millis(500);
-/// Longest wait.
+/// Maximum hold time after a recovery.
 const MAX_HOLD: Duration = Duration::from_secs(30);
 
-/// Hysteresis for an object that fails and recovers: each failure doubles the wait after its recovery.
+/// Flap damping for an object that fails and recovers: each recent failure doubles the time for which the
+/// object stays unusable after its recovery.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Damping {
-    /// Failures, faded by [`HALF_LIFE`].
+    /// Number of failures, decayed with [`HALF_LIFE`], as of `penalty_at`.
     penalty: f64,
-    /// When the penalty was computed.
-    at: Monotonic,
-    /// The object is not usable before this time.
-    until: Monotonic,
+    /// Time at which the penalty was computed.
+    penalty_at: Monotonic,
+    /// Time from which the object is usable.
+    usable_from: Monotonic,
 }
 
 impl Damping {
     /// Records a failure.
     pub fn fail(&mut self, now: Monotonic) {
         self.penalty = self.penalty(now) + 1.0;
-        self.at = now;
+        self.penalty_at = now;
     }
 
-    /// Records a recovery; the object becomes usable after a wait that grows with the failures.
+    /// Records a recovery. The object becomes usable after a hold time that grows with the recent failures.
     ///
     /// ```
     /// use std::time::Duration;
@@ -41,16 +42,16 @@
     /// ```
     pub fn recover(&mut self, now: Monotonic) {
         let hold = BASE_HOLD.mul_f64(self.penalty(now).exp2());
-        self.until = now + hold.min(MAX_HOLD);
+        self.usable_from = now + hold.min(MAX_HOLD);
     }
 
-    /// Whether the wait is over.
+    /// Returns whether the hold time of the last recovery has passed.
     pub fn is_usable(&self, now: Monotonic) -> bool {
-        now >= self.until
+        now >= self.usable_from
     }
 
     fn penalty(&self, now: Monotonic) -> f64 {
-        let halves = now.saturating_sub(self.at).as_secs_f64() / HALF_LIFE.as_secs_f64();
-        self.penalty * (-halves).exp2()
+        let half_lives = now.saturating_sub(self.penalty_at).as_secs_f64() / HALF_LIFE.as_secs_f64();
+        self.penalty * (-half_lives).exp2()
     }
 }
--- a/components/membership/src/exchange.rs
+++ b/components/membership/src/exchange.rs
@@ -5,60 +5,60 @@
     Quarantined, Rumour, TargetSummary,
 };
 
-/// Largest encoded heartbeat without its lists, in bytes.
+/// Maximum size of an encoded heartbeat without its notes and lists, in bytes.
 const FIXED_BYTES: usize = 48;
-/// Largest encoded [`Rumour`], in bytes.
+/// Maximum size of an encoded [`Rumour`], in bytes.
 const RUMOUR_BYTES: usize = 22;
-/// Largest encoded [`Quarantined`], in bytes.
+/// Maximum size of an encoded [`Quarantined`], in bytes.
 const QUARANTINED_BYTES: usize = 17;
-/// Encoded [`Demand`], in bytes.
+/// Size of an encoded [`Demand`], in bytes.
 const DEMAND_BYTES: usize = 6;
-/// Encoded [`TargetSummary`], in bytes.
+/// Size of an encoded [`TargetSummary`], in bytes.
 const SUMMARY_BYTES: usize = 10;
-/// Most news about hosts in a heartbeat.
+/// Maximum number of rumours in a heartbeat.
 const MAX_RUMOURS: usize = 4;
-/// Most quarantined requests in a heartbeat.
+/// Maximum number of quarantined requests in a heartbeat.
 const MAX_QUARANTINED: usize = 1;
-/// Most workspaces in a heartbeat.
+/// Maximum number of workspaces whose demand a heartbeat carries.
 const MAX_DEMAND: usize = 3;
-/// Longest state of the release notes, in bytes.
+/// Maximum size of the encoded state of the release notes, in bytes; a longer state is not sent.
 const MAX_NOTES_BYTES: usize = 64;
 
-/// Bytes that are left in a heartbeat.
-struct Room(usize);
+/// Free bytes of a heartbeat.
+struct FreeBytes(usize);
 
-impl Room {
-    /// Takes room for as many items as fit, at most `most`; returns their number.
-    fn reserve(&self, bytes: usize, most: usize) -> usize {
-        most.min(self.0 / bytes)
+impl FreeBytes {
+    /// Returns how many items of `bytes` bytes fit, at most `max`.
+    fn items_that_fit(&self, bytes: usize, max: usize) -> usize {
+        max.min(self.0 / bytes)
     }
 
-    fn spend(&mut self, bytes: usize) {
+    fn consume(&mut self, bytes: usize) {
         self.0 = self.0.saturating_sub(bytes);
     }
 }
 
 impl Membership {
-    /// Sends a heartbeat with as much news as fits.
+    /// Sends a heartbeat with as many queued updates as fit.
     pub(crate) fn send(&mut self, to: &HostId, body: Body, now: Monotonic, effects: &mut Vec<Effect>) {
         let mut heartbeat = Heartbeat::new(self.own.incarnation, body);
         heartbeat.revision = self.revision;
         heartbeat.leaving = self.leaving;
-        let mut room = Room(MAX_PAYLOAD_BYTES - FIXED_BYTES);
+        let mut free = FreeBytes(MAX_PAYLOAD_BYTES - FIXED_BYTES);
         if self.notes.len() <= MAX_NOTES_BYTES {
             heartbeat.notes.clone_from(&self.notes);
-            room.spend(self.notes.len());
+            free.consume(self.notes.len());
         }
-        heartbeat.rumours = self.next_rumours(to, &mut room);
-        heartbeat.quarantined = self.next_quarantined(&mut room, now);
-        heartbeat.demand = self.next_demand(&mut room);
-        heartbeat.targets = self.next_summaries(&mut room, now);
+        heartbeat.rumours = self.next_rumours(to, &mut free);
+        heartbeat.quarantined = self.next_quarantined(&mut free, now);
+        heartbeat.demand = self.next_demand(&mut free);
+        heartbeat.targets = self.next_summaries(&mut free, now);
         let to = to.clone();
         effects.push(Effect::Send { to, heartbeat });
     }
 
-    /// Takes the news that a heartbeat carries.
-    pub(crate) fn take_gossip(
+    /// Applies the updates in a received heartbeat.
+    pub(crate) fn apply_gossip(
         &mut self,
         from: &HostId,
         heartbeat: Heartbeat,
@@ -67,11 +67,11 @@
         effects: &mut Vec<Effect>,
     ) {
         for rumour in &heartbeat.rumours {
-            self.take_rumour(rumour, now, effects);
+            self.apply_rumour(rumour, now, effects);
         }
         for summary in &heartbeat.targets {
-            let read_at = Self::happened(summary.age, now);
-            self.take_summary(*summary, read_at, now, effects);
+            let read_at = Self::time_at_age(summary.age, now);
+            self.apply_summary(*summary, read_at, now, effects);
         }
         for entry in heartbeat.quarantined {
             effects.push(Effect::QuarantineReceived(entry));
@@ -91,36 +91,36 @@
         });
     }
 
-    fn take_rumour(&mut self, rumour: &Rumour, now: Monotonic, effects: &mut Vec<Effect>) {
+    fn apply_rumour(&mut self, rumour: &Rumour, now: Monotonic, effects: &mut Vec<Effect>) {
         if rumour.host == HostTag::of(&self.own.id) {
-            self.object(rumour, effects);
+            self.refute(rumour, effects);
             return;
         }
         let peer = self.tags.get(&rumour.host).and_then(|id| self.peers.get_mut(id));
         let Some(peer) = peer else {
             return;
         };
-        let was = peer.status;
-        let is_news = peer.incarnation > 0 || was != rumour.status;
-        if peer.is_heard_since_suspicion(rumour) || !peer.apply(rumour, now) {
+        let previous = peer.status;
+        let is_new = peer.incarnation > 0 || previous != rumour.status;
+        if peer.contradicts(rumour) || !peer.apply(rumour, now) {
             return;
         }
-        if was != rumour.status {
+        if previous != rumour.status {
             effects.push(Effect::ViewChanged);
         }
-        if is_news {
-            self.spread(*rumour);
+        if is_new {
+            self.queue_rumour(*rumour);
         }
     }
 
-    /// Objects to news that this host is suspect or dead.
-    fn object(&mut self, rumour: &Rumour, effects: &mut Vec<Effect>) {
+    /// Refutes a rumour that this host is suspect or dead by spreading its status with a higher revision.
+    fn refute(&mut self, rumour: &Rumour, effects: &mut Vec<Effect>) {
         if rumour.incarnation > self.own.incarnation {
             effects.push(Effect::Log(MembershipEvent::Superseded(rumour.incarnation)));
             return;
         }
-        let accused = matches!(rumour.status, HostStatus::Suspect | HostStatus::Dead);
-        if !accused || rumour.incarnation < self.own.incarnation || rumour.revision < self.revision {
+        let reported_failed = matches!(rumour.status, HostStatus::Suspect | HostStatus::Dead);
+        if !reported_failed || rumour.incarnation < self.own.incarnation || rumour.revision < self.revision {
             return;
         }
         self.revision = rumour.revision + 1;
@@ -128,7 +128,7 @@
             true => HostStatus::Leaving,
             false => HostStatus::Alive,
         };
-        self.spread(Rumour {
+        self.queue_rumour(Rumour {
             host: rumour.host,
             incarnation: self.own.incarnation,
             revision: self.revision,
@@ -136,45 +136,46 @@
         });
     }
 
-    /// News about hosts; first of all what the receiver should know about itself.
-    fn next_rumours(&mut self, to: &HostId, room: &mut Room) -> Vec<Rumour> {
+    /// Takes the rumours for the next heartbeat to a host. A rumour that the receiver is suspect or dead
+    /// comes first, as only the receiver can refute it.
+    fn next_rumours(&mut self, to: &HostId, free: &mut FreeBytes) -> Vec<Rumour> {
         let mut rumours = Vec::new();
         if let Some(peer) = self.peers.get(to)
             && matches!(peer.status, HostStatus::Suspect | HostStatus::Dead)
         {
             rumours.push(peer.rumour());
         }
-        let most = room.reserve(RUMOUR_BYTES, MAX_RUMOURS - rumours.len());
-        rumours.extend(self.rumours.take(most));
-        room.spend(RUMOUR_BYTES * rumours.len());
+        let count = free.items_that_fit(RUMOUR_BYTES, MAX_RUMOURS - rumours.len());
+        rumours.extend(self.rumours.take(count));
+        free.consume(RUMOUR_BYTES * rumours.len());
         rumours
     }
 
-    fn next_quarantined(&mut self, room: &mut Room, now: Monotonic) -> Vec<Quarantined> {
-        let most = room.reserve(QUARANTINED_BYTES, MAX_QUARANTINED);
-        let mut entries: Vec<_> = self.quarantined.take(most);
-        for (entry, since) in &mut entries {
-            let age = now.saturating_sub(*since).as_secs();
+    fn next_quarantined(&mut self, free: &mut FreeBytes, now: Monotonic) -> Vec<Quarantined> {
+        let count = free.items_that_fit(QUARANTINED_BYTES, MAX_QUARANTINED);
+        let mut entries: Vec<_> = self.quarantined.take(count);
+        for (entry, quarantined_at) in &mut entries {
+            let age = now.saturating_sub(*quarantined_at).as_secs();
             entry.age = u8::try_from(age).unwrap_or(u8::MAX);
         }
-        room.spend(QUARANTINED_BYTES * entries.len());
+        free.consume(QUARANTINED_BYTES * entries.len());
         entries.into_iter().map(|(entry, _)| entry).collect()
     }
 
-    fn next_demand(&mut self, room: &mut Room) -> Vec<Demand> {
-        let most = room.reserve(DEMAND_BYTES, MAX_DEMAND.min(self.demand.len()));
+    fn next_demand(&mut self, free: &mut FreeBytes) -> Vec<Demand> {
+        let count = free.items_that_fit(DEMAND_BYTES, MAX_DEMAND.min(self.demand.len()));
         let start = self.demand_next;
-        self.demand_next = start.wrapping_add(most);
-        room.spend(DEMAND_BYTES * most);
-        (0..most)
+        self.demand_next = start.wrapping_add(count);
+        free.consume(DEMAND_BYTES * count);
+        (0..count)
             .map(|i| self.demand[start.wrapping_add(i) % self.demand.len()])
             .collect()
     }
 
-    fn next_summaries(&mut self, room: &mut Room, now: Monotonic) -> Vec<TargetSummary> {
-        let most = room.reserve(SUMMARY_BYTES, usize::MAX);
-        let mut summaries = self.urgent.take(most);
-        summaries.extend(self.loads.take(most - summaries.len()));
+    fn next_summaries(&mut self, free: &mut FreeBytes, now: Monotonic) -> Vec<TargetSummary> {
+        let count = free.items_that_fit(SUMMARY_BYTES, usize::MAX);
+        let mut summaries = self.urgent_summaries.take(count);
+        summaries.extend(self.load_summaries.take(count - summaries.len()));
         for (summary, read_at) in &mut summaries {
             summary.age = Self::age(*read_at, now);
         }
--- a/components/membership/src/heartbeat.rs
+++ b/components/membership/src/heartbeat.rs
@@ -3,31 +3,31 @@
 
 use crate::{HostTag, TargetTag, WorkspaceTag};
 
-/// Largest encoded heartbeat, in bytes.
+/// Maximum size of an encoded heartbeat, in bytes.
 pub const MAX_PAYLOAD_BYTES: usize = 256;
 
-/// Bytes that IP, UDP and QUIC add to a datagram, with its share of acknowledgements.
+/// Overhead of IP, UDP and QUIC per datagram, in bytes, including its share of acknowledgements.
 pub const WIRE_OVERHEAD_BYTES: usize = 100;
 
-/// Why a heartbeat can not be used.
+/// Errors of encoding and decoding a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum HeartbeatError {
-    /// It is longer than [`MAX_PAYLOAD_BYTES`].
+    /// The encoded heartbeat is longer than [`MAX_PAYLOAD_BYTES`].
     #[error("the heartbeat is longer than {MAX_PAYLOAD_BYTES} bytes")]
     TooLong,
-    /// Its bytes do not follow the format.
+    /// The bytes do not follow the format.
     #[error("the heartbeat can not be read")]
     Malformed,
 }
 
-/// What a heartbeat asks or answers.
+/// The request or response that a heartbeat carries.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Body {
-    /// Asks for an echo.
+    /// Requests an echo.
     Probe {
-        /// Repeated by the echo.
+        /// Random number that the echo repeats.
         nonce: u64,
     },
     /// Answers a probe.
@@ -35,39 +35,39 @@
         /// Nonce of the probe.
         nonce: u64,
     },
-    /// Asks a third host to probe a silent one.
+    /// Requests an indirect probe: the receiver probes a silent host for the sender.
     ProbeFor {
-        /// Repeated by the vouch.
+        /// Random number that the vouch repeats.
         nonce: u64,
         /// The silent host.
         about: HostTag,
     },
-    /// Says that the silent host answered a probe.
+    /// Answers a [`Body::ProbeFor`]: the silent host answered the probe.
     Vouch {
         /// Nonce of the request.
         nonce: u64,
-        /// The host that was silent.
+        /// The host that answered.
         about: HostTag,
         /// Its incarnation.
         incarnation: Incarnation,
     },
 }
 
-/// What is said about a host. For one incarnation and revision a later variant overrides an earlier one.
+/// Status of a host. For the same incarnation and revision, a later variant overrides an earlier one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub enum HostStatus {
-    /// It answers.
+    /// The host answers.
     Alive,
-    /// It did not answer, also not through others.
+    /// The host answered neither direct nor indirect probes.
     Suspect,
-    /// It drains and ends soon.
+    /// The host drains and stops soon.
     Leaving,
-    /// It was suspected for long and did not object.
+    /// The host did not refute the suspicion in time.
     Dead,
 }
 
-/// News about a host that passes from host to host.
+/// A status update about a host, spread by gossip.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Rumour {
@@ -75,25 +75,25 @@
     pub host: HostTag,
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Raised by the host itself when it objects to a suspicion.
+    /// Revision of the status; only the host itself increases it, to refute a suspicion.
     pub revision: u32,
-    /// What is said.
+    /// The reported status.
     pub status: HostStatus,
 }
 
-/// Load of a target in a few bytes. Levels are logarithmic: `level(x) = round(4 * log2(1 + x))`.
+/// Load of a target in compact form. Levels are logarithmic: `level(x) = round(4 * log2(1 + x))`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct TargetSummary {
     /// The target.
     pub target: TargetTag,
-    /// Time since the watcher read the report, in quarters of a second.
+    /// Time since the watcher read the report, in units of 250 ms; at most 255 units.
     pub age: u8,
-    /// Level of the prompt tokens that wait.
+    /// Level of the number of queued prompt tokens.
     pub queued: u8,
-    /// Drafts that run, at most 255.
+    /// Number of running drafts, at most 255.
     pub running: u8,
-    /// Level of the tokens that the watcher's host sent since the report.
+    /// Level of the number of tokens that the watcher has sent to the target since the report.
     pub sent: u8,
     /// Whether the target is leaving.
     pub leaving: bool,
@@ -101,29 +101,30 @@
     pub silent: bool,
 }
 
-/// A request that crashed targets.
+/// A request that is quarantined because it crashed targets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Quarantined {
     /// First half of the request's fingerprint.
     pub fingerprint: [u8; 16],
-    /// Time since it was quarantined, in seconds, at most 255.
+    /// Time since the quarantine began, in seconds, at most 255.
     pub age: u8,
 }
 
-/// What a workspace asked of the sending host lately; levels as in [`TargetSummary`].
+/// Recent demand of a workspace at the sending host; levels as in [`TargetSummary`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Demand {
     /// The workspace.
     pub workspace: WorkspaceTag,
-    /// Level of the requests a second.
+    /// Level of the rate of requests, in sixteenths of a request per second.
     pub requests: u8,
-    /// Level of the prompt tokens a second.
+    /// Level of the rate of prompt tokens, in tokens per second.
     pub tokens: u8,
 }
 
-/// A datagram between two entry hosts. The transport knows the sender by its certificate.
+/// A datagram between two entry hosts. The sender is not part of it, as the transport identifies it by its
+/// certificate.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Heartbeat {
@@ -133,22 +134,22 @@
     pub revision: u32,
     /// Whether the sender is leaving.
     pub leaving: bool,
-    /// What is asked or answered.
+    /// Request or response.
     pub body: Body,
-    /// State of the release notes at the sender, encoded by its owner.
+    /// Encoded state of the release notes at the sender; opaque to this crate.
     pub notes: Vec<u8>,
-    /// News about hosts.
+    /// Status updates about hosts.
     pub rumours: Vec<Rumour>,
-    /// Requests that crash targets.
+    /// Quarantined requests.
     pub quarantined: Vec<Quarantined>,
-    /// Demand of workspaces.
+    /// Demand of workspaces at the sender.
     pub demand: Vec<Demand>,
-    /// Load of targets.
+    /// Load summaries of targets.
     pub targets: Vec<TargetSummary>,
 }
 
 impl Heartbeat {
-    /// A heartbeat with nothing but its body.
+    /// Creates a heartbeat that carries only a body.
     pub fn new(incarnation: Incarnation, body: Body) -> Self {
         Self {
             incarnation,
@@ -163,10 +164,10 @@
         }
     }
 
-    /// The bytes of the datagram.
+    /// Encodes the heartbeat as a datagram.
     ///
     /// # Errors
-    /// [`HeartbeatError::TooLong`] if the parts do not fit.
+    /// [`HeartbeatError::TooLong`] if the encoded heartbeat exceeds [`MAX_PAYLOAD_BYTES`].
     ///
     /// ```
     /// use membership::{Body, Heartbeat};
@@ -184,10 +185,10 @@
         Ok(bytes)
     }
 
-    /// Reads a datagram.
+    /// Decodes a datagram.
     ///
     /// # Errors
-    /// [`HeartbeatError`] if it is too long, cut short or followed by other bytes.
+    /// [`HeartbeatError`] if the datagram is too long, truncated, malformed or followed by other bytes.
     pub fn decode(bytes: &[u8]) -> Result<Self, HeartbeatError> {
         if bytes.len() > MAX_PAYLOAD_BYTES {
             return Err(HeartbeatError::TooLong);
@@ -200,7 +201,7 @@
 }
 
 impl TargetSummary {
-    /// The level of an amount.
+    /// Returns the level of an amount.
     ///
     /// ```
     /// use membership::TargetSummary;
@@ -213,7 +214,7 @@
         (4.0 * (1.0 + amount as f64).log2()).round() as u8
     }
 
-    /// The amount that a level stands for, within a tenth.
+    /// Returns the amount that corresponds to a level, accurate to a tenth.
     pub fn amount(level: u8) -> u64 {
         ((f64::from(level) / 4.0).exp2() - 1.0).round() as u64
     }
--- a/components/membership/src/hosts.rs
+++ b/components/membership/src/hosts.rs
@@ -7,10 +7,10 @@
 use crate::membership::is_entry;
 use crate::peer::Peer;
 use crate::pool::{distrusted, is_distrusted};
-use crate::{HostEntry, HostStatus, HostTag, Membership, ReachableHost, Why, neighbours};
+use crate::{HostEntry, HostStatus, HostTag, LivenessReason, Membership, ReachableHost, neighbours};
 
 impl Membership {
-    /// Takes the entry hosts of a new list; returns how many are kept although the list dropped them.
+    /// Applies the entry hosts of a new list; returns how many are kept although the list dropped them.
     pub(crate) fn update_hosts(&mut self, list: &[ListedHost], now: Monotonic) -> usize {
         let listed: BTreeMap<_, _> = list
             .iter()
@@ -23,14 +23,15 @@
         let kept = self.drop_unlisted_hosts(&listed);
         for (id, host) in &listed {
             if *id != self.own.id {
-                self.take_listed_host(id, host, now);
+                self.update_listed_host(id, host, now);
             }
         }
-        self.find_neighbours();
+        self.update_neighbours();
         kept
     }
 
-    /// Live and leaving hosts by region. Where too much of a region is silent at once, all are kept.
+    /// Returns the live and leaving hosts by region. In a region where the silence is distrusted, all hosts
+    /// are kept.
     pub(crate) fn host_entries(&self, now: Monotonic) -> BTreeMap<RegionId, Vec<HostEntry>> {
         let mut hosts: BTreeMap<RegionId, Vec<HostEntry>> = BTreeMap::new();
         if let Some(own) = &self.own_listed {
@@ -41,8 +42,8 @@
         }
         let distrusted = self.distrusted_regions(now);
         for peer in self.peers.values() {
-            let keep = distrusted.contains(&peer.listed.region);
-            if let Some(entry) = peer.entry(keep, now) {
+            let silence_distrusted = distrusted.contains(&peer.listed.region);
+            if let Some(entry) = peer.entry(silence_distrusted, now) {
                 hosts.entry(peer.listed.region.clone()).or_default().push(entry);
             }
         }
@@ -57,7 +58,7 @@
                     host: peer.id().clone(),
                     region: peer.listed.region.clone(),
                     incarnation: peer.incarnation,
-                    at: peer.heard_at?,
+                    at: peer.last_contact?,
                 })
             })
             .collect()
@@ -68,7 +69,7 @@
             listed: own.clone(),
             incarnation: self.own.incarnation,
             leaving: self.leaving || own.state == HostState::Leaving,
-            why: Why::Listed,
+            reason: LivenessReason::Listed,
         }
     }
 
@@ -92,7 +93,7 @@
         self.peers.values().filter(|p| p.unlisted).count()
     }
 
-    fn take_listed_host(&mut self, id: &HostId, host: &ListedHost, now: Monotonic) {
+    fn update_listed_host(&mut self, id: &HostId, host: &ListedHost, now: Monotonic) {
         match self.peers.get_mut(id) {
             Some(peer) if *peer.listed == *host => {}
             Some(peer) if peer.listed.peer_address == host.peer_address => {
@@ -105,7 +106,7 @@
         }
     }
 
-    fn find_neighbours(&mut self) {
+    fn update_neighbours(&mut self) {
         let mut hosts: Vec<_> = self
             .peers
             .values()
@@ -124,7 +125,8 @@
         *id == self.own.id || self.tags.contains_key(&HostTag::of(id))
     }
 
-    /// Regions in which too many hosts look dead at once to be believed.
+    /// Returns the regions in which too large a share of the hosts is unusable at once, so that their silence
+    /// is distrusted.
     fn distrusted_regions(&self, now: Monotonic) -> BTreeSet<RegionId> {
         let mut counts: BTreeMap<RegionId, (usize, usize)> = BTreeMap::new();
         for peer in self.peers.values() {
@@ -141,18 +143,18 @@
 }
 
 impl Peer {
-    fn entry(&self, keep_silent: bool, now: Monotonic) -> Option<HostEntry> {
-        let why = match (self.is_usable(now), self.unlisted) {
-            (true, false) => Why::Listed,
-            (true, true) => Why::ListDistrusted,
-            (false, _) if keep_silent => Why::SilenceDistrusted,
+    fn entry(&self, silence_distrusted: bool, now: Monotonic) -> Option<HostEntry> {
+        let reason = match (self.is_usable(now), self.unlisted) {
+            (true, false) => LivenessReason::Listed,
+            (true, true) => LivenessReason::ListDistrusted,
+            (false, _) if silence_distrusted => LivenessReason::SilenceDistrusted,
             (false, _) => return None,
         };
         Some(HostEntry {
             listed: self.listed.clone(),
             incarnation: self.incarnation,
             leaving: self.status == HostStatus::Leaving || self.listed.state == HostState::Leaving,
-            why,
+            reason,
         })
     }
 }
--- a/components/membership/src/input.rs
+++ b/components/membership/src/input.rs
@@ -3,88 +3,89 @@
 
 use crate::{Demand, Heartbeat, Quarantined, TargetSummary};
 
-/// What happened when this host used a target.
+/// Result of a call from this host to a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Observation {
     /// The target answered.
     Answered,
-    /// The target did not answer, also on a new connection.
+    /// The target did not answer, not even on a new connection.
     Failed,
 }
 
-/// What the membership state machine is told.
+/// An input of the membership state machine.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Input {
-    /// Time has passed; due several times a second.
+    /// Time has passed; expected several times a second.
     Tick,
     /// The platform's list was read.
     List(Vec<ListedHost>),
     /// A heartbeat arrived.
     Received {
-        /// The sender, by its certificate.
+        /// Name of the sender, from its certificate.
         from: HostId,
-        /// Its content.
+        /// The heartbeat.
         heartbeat: Heartbeat,
     },
-    /// Traffic of this host used a target.
+    /// A call of this host to a target has ended.
     Observed {
         /// The target.
         target: TargetId,
-        /// How it went.
+        /// Result of the call.
         observation: Observation,
     },
-    /// This host watches a target and has read its load.
+    /// This host has read the load of a target that it watches.
     Watched(TargetSummary),
-    /// State of the release notes at this host, to be carried by heartbeats.
+    /// State of the release notes at this host, to be sent in heartbeats.
     Notes(Vec<u8>),
-    /// This host put a request under quarantine.
+    /// This host quarantined a request.
     Quarantine(Quarantined),
-    /// Demand of workspaces at this host.
+    /// Demand of the workspaces at this host.
     Demand(Vec<Demand>),
-    /// This host drains.
+    /// This host starts to drain.
     Leave,
 }
 
-/// A change worth a log line.
+/// A change that is logged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MembershipEvent {
-    /// The list dropped too much of a pool at once; the value is the number of hosts kept.
+    /// The list dropped too large a share of a pool at once; the value is the number of hosts and targets
+    /// that are kept although the list dropped them.
     ListDistrusted(usize),
-    /// A host is suspected.
+    /// A host did not answer probes and is suspected to have failed.
     HostSuspected(HostId),
-    /// A host is taken for dead.
+    /// A host is considered dead.
     HostDead(HostId),
-    /// A host that was suspected or dead answers again.
+    /// A host that was suspected or considered dead answers again.
     HostRecovered(HostId),
-    /// A host runs in a new incarnation.
+    /// A host restarted with a new incarnation.
     HostRestarted(HostId),
-    /// Too many neighbours are silent at once.
+    /// More than half of the neighbours in the region are silent at once.
     Isolated,
-    /// Neighbours answer again.
+    /// Enough neighbours answer again.
     Rejoined,
-    /// This process was paused; the value is the gap between two ticks in milliseconds.
+    /// This process was paused; the value is the time between two inputs, in milliseconds.
     Paused(u64),
     /// Another process runs under this host's name with a later incarnation.
     Superseded(Incarnation),
 }
 
-/// What the membership state machine asks for.
+/// An action that the caller of the membership state machine performs.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     /// Send a heartbeat.
     Send {
         /// The receiver.
         to: HostId,
-        /// The content.
+        /// The heartbeat.
         heartbeat: Heartbeat,
     },
-    /// A host is silent although its process may live: replace the connection to it.
+    /// Replace the connection to a host that is silent, as its process may still be alive.
     Reconnect(HostId),
-    /// The view changed.
+    /// Read the view again, as it has changed.
     ViewChanged,
     /// Write a log line.
     Log(MembershipEvent),
-    /// State of the release notes at another host.
+    /// State of the release notes at another host arrived.
     NotesReceived {
         /// The other host.
         from: HostId,
@@ -92,18 +93,18 @@
         region: Option<RegionId>,
         /// Its incarnation.
         incarnation: Incarnation,
-        /// When the probe that this answers was sent; `None` if it answers none.
+        /// Time at which the answered probe was sent; `None` if the heartbeat answers no probe of this host.
         probe_sent: Option<Monotonic>,
-        /// Encoded by its owner.
+        /// The encoded state; opaque to this crate.
         notes: Vec<u8>,
     },
-    /// A request is quarantined at another host.
+    /// A request that is quarantined at another host.
     QuarantineReceived(Quarantined),
-    /// Demand of workspaces at another host.
+    /// Demand of the workspaces at another host arrived.
     DemandReceived {
         /// The other host.
         from: HostId,
-        /// Its demand.
+        /// Demand of each workspace.
         demand: Vec<Demand>,
     },
 }
--- a/components/membership/src/lease.rs
+++ b/components/membership/src/lease.rs
@@ -9,7 +9,7 @@
 /// Key of the row that holds the lease for orders to targets.
 pub const ORDERS_KEY: &str = "orders/lease";
 
-/// A weight load that was ordered and is not known to have ended.
+/// A weight load that may be in progress: it was reserved in the lease's row and is not known to have ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct LoadSlot {
@@ -17,36 +17,36 @@
     pub target: TargetId,
     /// The model.
     pub model: ModelId,
-    /// The version that is loaded.
+    /// The version to load.
     pub version: WeightVersion,
 }
 
-/// Content of the lease's row.
+/// Content of the lease's row in the table service.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct LeaseRow {
-    /// Who may give orders.
+    /// Name of the host that holds the lease.
     pub holder: HostId,
-    /// Run of the holder's process.
+    /// Incarnation of the holder's process.
     pub incarnation: Incarnation,
-    /// Fencing number; grows with each new holder.
+    /// Fencing token; increases with each new holder.
     pub epoch: Epoch,
-    /// Number of the holder's write, to know a write again whose answer was lost.
+    /// Number of the holder's write. Identifies a write whose answer was lost when the row is read again.
     pub write: u64,
-    /// Weight loads that count against the limit, whoever ordered them.
+    /// Weight loads that count against the limit, including those of earlier holders.
     pub loads: Vec<LoadSlot>,
 }
 
-/// Times and limits that all hosts must share.
+/// Times and limits of the lease; must be the same at all hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct LeaseRules {
-    /// How long a write of the row lets its holder give orders.
+    /// Time for which a write of the row extends the lease.
     pub length: Duration,
-    /// Orders stop this long before the lease lapses; covers the time between the check and the send.
+    /// Time before the end of the lease at which orders stop; covers the time between the check and the send.
     pub margin: Duration,
-    /// Longest time from sending an order to its effect.
+    /// Maximum time from sending an order to its effect.
     pub max_order_latency: Duration,
-    /// Most weight loads at once, over all hosts.
+    /// Maximum number of weight loads at once, over all hosts.
     pub limit: usize,
 }
 
@@ -61,74 +61,74 @@
     }
 }
 
-/// What the table service said about a write.
+/// Result of a write to the table service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum WriteOutcome {
-    /// It took effect with this version.
+    /// The write took effect; the row has this version.
     Applied(RowVersion),
-    /// It took no effect.
+    /// The write took no effect.
     Refused,
-    /// Its answer is lost; it may have taken effect.
+    /// The answer was lost; the write may have taken effect.
     Unknown,
 }
 
-/// What the lease is told.
+/// An input of the lease.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum LeaseInput {
-    /// Time has passed; `wanted` says whether this host should hold the lease.
+    /// Time has passed.
     Tick {
-        /// Whether this host owns the orders.
+        /// Whether this host should hold the lease.
         wanted: bool,
     },
-    /// The row was read; `None` if there is none.
+    /// The row was read; `None` if it does not exist.
     Read(Option<(LeaseRow, RowVersion)>),
     /// The read failed.
     ReadFailed,
-    /// A write was answered, or not.
+    /// A write has ended, with or without an answer.
     Written(WriteOutcome),
-    /// A load should start; it counts when its slot has been written.
+    /// A load should start. It may be ordered once its slot is written in the row.
     Start(LoadSlot),
-    /// A load has ended, or its target is gone.
+    /// The load at a target has ended, or the target no longer exists.
     End(TargetId),
 }
 
-/// What the lease asks for.
+/// A request to the table service.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum LeaseEffect {
     /// Read the row.
     Read,
-    /// Write the row, if it still has the expected version.
+    /// Write the row if it has the expected version.
     Write {
-        /// What the row must be.
+        /// Expected state of the row.
         expect: Expect,
-        /// Its new content.
+        /// New content of the row.
         row: LeaseRow,
     },
 }
 
-/// A write that is not answered so far.
+/// A write without an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Pending {
-    /// Before the write was sent.
-    asked_at: Monotonic,
-    /// What is written.
+struct PendingWrite {
+    /// Time before the write was sent.
+    sent_at: Monotonic,
+    /// Content of the write.
     row: LeaseRow,
-    /// Whether the answer is lost.
-    lost: bool,
+    /// Whether the answer was lost.
+    answer_lost: bool,
 }
 
 /// The row as this host last read or wrote it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Seen {
-    /// Content; `None` if there is no row.
+struct ObservedRow {
+    /// Content; `None` if the row does not exist.
     row: Option<LeaseRow>,
-    /// Version; 0 if there is no row.
+    /// Version; 0 if the row does not exist.
     version: RowVersion,
-    /// When this version was first seen.
+    /// Time at which this host first observed this version.
     at: Monotonic,
 }
 
-/// One host's part in the lease for orders.
+/// State of the lease for orders to targets at one host.
 ///
 /// ```
 /// use std::time::Duration;
@@ -142,82 +142,84 @@
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct OrderLease {
-    /// Who this host is.
+    /// Identity of this host.
     own: Identity,
     /// Times and limits.
     rules: LeaseRules,
-    /// The row.
-    seen: Option<Seen>,
+    /// The last observed row; `None` if it is not known.
+    observed: Option<ObservedRow>,
     /// A write without an answer.
-    pending: Option<Pending>,
-    /// Whether a read is under way.
+    pending: Option<PendingWrite>,
+    /// Whether a read is in flight.
     reading: bool,
-    /// Number of the last write.
-    writes: u64,
-    /// Until when this host may give orders, with the fencing number.
+    /// Number of the last write of this host.
+    last_write: u64,
+    /// Fencing token and end of the lease, while this host holds it.
     held: Option<(Epoch, Monotonic)>,
-    /// Inherited targets that ignore fencing numbers get no order before this time.
-    waits_until: Monotonic,
-    /// Targets of the loads that stood in the row when this host took the lease. Only these may have an order of the last
-    /// holder on its way, as a load is ordered only while it is written.
+    /// Time before which inherited targets that do not check fencing tokens get no order.
+    inherited_blocked_until: Monotonic,
+    /// Targets of the loads that were in the row when this host took the lease. Only these may have an order
+    /// of the previous holder in flight, as a load is ordered only while its slot is in the row.
     inherited: Vec<TargetId>,
-    /// Loads to add with the next write.
+    /// Loads to add to the row with the next write.
     starting: Vec<LoadSlot>,
-    /// Loads to remove with the next write.
+    /// Targets whose loads the next write removes from the row.
     ending: Vec<TargetId>,
 }
 
 impl OrderLease {
-    /// A host that knows nothing about the row.
+    /// Creates the state of a host that has not read the row.
     pub fn new(own: Identity, rules: LeaseRules) -> Self {
         Self {
             own,
             rules,
-            seen: None,
+            observed: None,
             pending: None,
             reading: false,
-            writes: 0,
+            last_write: 0,
             held: None,
-            waits_until: Duration::ZERO,
+            inherited_blocked_until: Duration::ZERO,
             inherited: Vec::new(),
             starting: Vec::new(),
             ending: Vec::new(),
         }
     }
 
-    /// Takes an input; says what to ask of the table service.
+    /// Processes an input; returns the next request to the table service, if any.
     pub fn step(&mut self, input: LeaseInput, now: Monotonic) -> Option<LeaseEffect> {
         match input {
             LeaseInput::Tick { wanted } => return self.tick(wanted, now),
-            LeaseInput::Read(found) => self.take_read(found, now),
+            LeaseInput::Read(found) => self.handle_read(found, now),
             LeaseInput::ReadFailed => self.reading = false,
-            LeaseInput::Written(outcome) => self.take_written(outcome, now),
+            LeaseInput::Written(outcome) => self.handle_written(outcome, now),
             LeaseInput::Start(slot) => self.start(slot),
             LeaseInput::End(target) => self.end(target),
         }
         None
     }
 
-    /// The fencing number for an order to a target, if one may be sent now. Check it right before sending.
+    /// Returns the fencing token for an order to a target if an order may be sent now. Must be called right
+    /// before sending.
     pub fn epoch_for(&self, target: &TargetId, checks_epochs: bool, now: Monotonic) -> Option<Epoch> {
         let (epoch, until) = self.held?;
-        let in_time = now + self.rules.margin < until;
-        let waited = checks_epochs || now >= self.waits_until || !self.inherited.contains(target);
-        (in_time && waited).then_some(epoch)
+        let is_in_time = now + self.rules.margin < until;
+        let is_unblocked =
+            checks_epochs || now >= self.inherited_blocked_until || !self.inherited.contains(target);
+        (is_in_time && is_unblocked).then_some(epoch)
     }
 
-    /// Loads that are written in the row; only these may be ordered.
+    /// Returns the loads in the row; only these may be ordered.
     pub fn loads(&self) -> &[LoadSlot] {
         self.row().map_or(&[], |row| &row.loads)
     }
 
-    /// Loads that may still be added.
+    /// Returns the number of loads that can be added.
     pub fn free_slots(&self) -> usize {
         let used = self.loads().len() + self.starting.len();
         self.rules.limit.saturating_sub(used)
     }
 
-    /// Whether this host holds the lease.
+    /// Returns whether this host holds the lease.
     pub fn is_held(&self, now: Monotonic) -> bool {
         self.held.is_some_and(|(_, until)| now < until)
     }
@@ -227,19 +229,19 @@
             self.held = None;
             self.starting.clear();
         }
-        if self.reading || self.pending.as_ref().is_some_and(|p| !p.lost) {
+        if self.reading || self.pending.as_ref().is_some_and(|p| !p.answer_lost) {
             return None;
         }
-        if self.pending.is_some() || self.seen.is_none() {
+        if self.pending.is_some() || self.observed.is_none() {
             return wanted.then(|| self.read());
         }
         if !wanted {
             return None;
         }
-        if self.is_mine() {
+        if self.is_own_row() {
             return self.is_write_due(now).then(|| self.write(now));
         }
-        let lapsed = self.seen.as_ref().is_some_and(|s| self.has_lapsed(s, now));
+        let lapsed = self.observed.as_ref().is_some_and(|s| self.has_lapsed(s, now));
         Some(if lapsed { self.write(now) } else { self.read() })
     }
 
@@ -248,43 +250,44 @@
         LeaseEffect::Read
     }
 
-    /// Whether a third of the lease is used up, or loads have changed.
+    /// Returns whether at least a third of the lease has passed, or loads have changed.
     fn is_write_due(&self, now: Monotonic) -> bool {
-        let fresh = self
+        let is_fresh = self
             .held
             .is_some_and(|(_, until)| now + self.rules.length * 2 / 3 < until);
-        !fresh || !self.starting.is_empty() || !self.ending.is_empty()
+        !is_fresh || !self.starting.is_empty() || !self.ending.is_empty()
     }
 
-    /// The holder measured from before its write; this host measures from after it saw the write's effect.
-    fn has_lapsed(&self, seen: &Seen, now: Monotonic) -> bool {
-        seen.row.is_none() || now >= seen.at + self.rules.length
+    /// Returns whether the lease of the observed row has expired. The holder measures its length from before
+    /// the write, this host from after the write was observed, which is never earlier.
+    fn has_lapsed(&self, observed: &ObservedRow, now: Monotonic) -> bool {
+        observed.row.is_none() || now >= observed.at + self.rules.length
     }
 
     fn write(&mut self, now: Monotonic) -> LeaseEffect {
-        self.writes += 1;
+        self.last_write += 1;
         let row = self.next_row();
-        let version = self.seen.as_ref().map_or(0, |s| s.version);
+        let version = self.observed.as_ref().map_or(0, |s| s.version);
         let expect = match version {
             0 => Expect::Absent,
             version => Expect::Version(version),
         };
-        self.pending = Some(Pending {
-            asked_at: now,
+        self.pending = Some(PendingWrite {
+            sent_at: now,
             row: row.clone(),
-            lost: false,
+            answer_lost: false,
         });
         LeaseEffect::Write { expect, row }
     }
 
     fn next_row(&self) -> LeaseRow {
-        let known = self.row();
-        let epoch = match known {
-            Some(row) if self.is_mine() => row.epoch,
+        let current = self.row();
+        let epoch = match current {
+            Some(row) if self.is_own_row() => row.epoch,
             Some(row) => row.epoch + 1,
             None => 1,
         };
-        let mut loads = known.map(|row| row.loads.clone()).unwrap_or_default();
+        let mut loads = current.map(|row| row.loads.clone()).unwrap_or_default();
         loads.retain(|slot| !self.ending.contains(&slot.target));
         for slot in &self.starting {
             if loads.len() < self.rules.limit && !loads.iter().any(|l| l.target == slot.target) {
@@ -295,68 +298,68 @@
             holder: self.own.id.clone(),
             incarnation: self.own.incarnation,
             epoch,
-            write: self.writes,
+            write: self.last_write,
             loads,
         }
     }
 
-    fn take_written(&mut self, outcome: WriteOutcome, now: Monotonic) {
+    fn handle_written(&mut self, outcome: WriteOutcome, now: Monotonic) {
         match outcome {
             WriteOutcome::Applied(version) => {
                 if let Some(pending) = self.pending.take() {
-                    self.hold(pending, version, now);
+                    self.confirm_write(pending, version, now);
                 }
             }
             WriteOutcome::Refused => {
                 self.pending = None;
-                self.seen = None;
+                self.observed = None;
                 self.held = None;
                 self.starting.clear();
             }
             WriteOutcome::Unknown => {
                 if let Some(pending) = &mut self.pending {
-                    pending.lost = true;
+                    pending.answer_lost = true;
                 }
             }
         }
     }
 
-    /// Takes over a row that this host wrote; the lease runs from before the write was sent.
-    fn hold(&mut self, pending: Pending, version: RowVersion, now: Monotonic) {
+    /// Records that a write of this host took effect. The lease runs from the time before the write was sent.
+    fn confirm_write(&mut self, pending: PendingWrite, version: RowVersion, now: Monotonic) {
         if self.held.is_none() {
-            self.waits_until = pending.asked_at + self.rules.max_order_latency;
+            self.inherited_blocked_until = pending.sent_at + self.rules.max_order_latency;
             self.inherited = self.loads().iter().map(|slot| slot.target.clone()).collect();
         }
-        self.held = Some((pending.row.epoch, pending.asked_at + self.rules.length));
+        self.held = Some((pending.row.epoch, pending.sent_at + self.rules.length));
         let written = &pending.row.loads;
         self.starting.retain(|slot| !written.contains(slot));
         self.ending
             .retain(|target| written.iter().any(|l| l.target == *target));
-        self.seen = Some(Seen {
+        self.observed = Some(ObservedRow {
             row: Some(pending.row),
             version,
             at: now,
         });
     }
 
-    fn take_read(&mut self, found: Option<(LeaseRow, RowVersion)>, now: Monotonic) {
+    fn handle_read(&mut self, found: Option<(LeaseRow, RowVersion)>, now: Monotonic) {
         self.reading = false;
-        let lost = self.pending.take_if(|p| p.lost);
+        let unconfirmed = self.pending.take_if(|p| p.answer_lost);
         let (row, version) = match found {
             Some((row, version)) => (Some(row), version),
             None => (None, 0),
         };
-        if let (Some(pending), Some(row)) = (lost, &row)
+        if let (Some(pending), Some(row)) = (unconfirmed, &row)
             && pending.row == *row
         {
-            self.hold(pending, version, now);
+            self.confirm_write(pending, version, now);
             return;
         }
-        if self.seen.as_ref().is_some_and(|s| s.version == version) {
+        if self.observed.as_ref().is_some_and(|s| s.version == version) {
             return;
         }
         self.held = None;
-        self.seen = Some(Seen {
+        self.observed = Some(ObservedRow {
             row,
             version,
             at: now,
@@ -382,17 +385,17 @@
     }
 
     fn row(&self) -> Option<&LeaseRow> {
-        self.seen.as_ref().and_then(|s| s.row.as_ref())
+        self.observed.as_ref().and_then(|s| s.row.as_ref())
     }
 
-    fn is_mine(&self) -> bool {
+    fn is_own_row(&self) -> bool {
         self.row()
             .is_some_and(|row| row.holder == self.own.id && row.incarnation == self.own.incarnation)
     }
 }
 
 impl LeaseEffect {
-    /// The transaction of a write.
+    /// Returns the transaction of a write.
     pub fn transaction(expect: Expect, row: &LeaseRow) -> Transaction {
         let value = serde_json::to_value(row).unwrap_or_default();
         Transaction::default().put(ORDERS_KEY, expect, value)
--- a/components/membership/src/lib.rs
+++ b/components/membership/src/lib.rs
@@ -1,4 +1,5 @@
-//! Liveness of hosts and targets, who owns what, and fenced orders, as state machines without I/O.
+//! Liveness of hosts and targets, ownership by rendezvous hashing, and the fenced lease for orders to
+//! targets, as state machines without I/O.
 
 mod damping;
 mod exchange;
@@ -29,11 +30,11 @@
 pub use lease::{
     LeaseEffect, LeaseInput, LeaseRow, LeaseRules, LoadSlot, ORDERS_KEY, OrderLease, WriteOutcome,
 };
-pub use measure::{Measure, MeasureOptions, measure};
+pub use measure::{MeasureOptions, Measurement, measure};
 pub use membership::{Identity, Membership};
 pub use neighbours::neighbours;
 pub use ownership::{Owners, Ownership, SHARDS, ShardId, shard};
 pub use polling::{Backoff, poll_interval};
-pub use rollout::{Installed, Rollout, Wanted};
+pub use rollout::{DesiredVersions, Installed, Rollout};
 pub use tag::{HostTag, TargetTag, WorkspaceTag};
-pub use view::{HostEntry, MembershipView, ReachableHost, TargetEntry, TargetLiveness, Why};
+pub use view::{HostEntry, LivenessReason, MembershipView, ReachableHost, TargetEntry, TargetLiveness};
--- a/components/membership/src/measure.rs
+++ b/components/membership/src/measure.rs
@@ -14,64 +14,64 @@
 
 /// Time between two ticks of a host.
 const TICK: Duration = Duration::from_millis(250);
-/// Time between two readings of a watched target's load.
+/// Time between two reads of the load of a watched target.
 const WATCH_INTERVAL: Duration = Duration::from_secs(1);
-/// One way inside a region.
-const NEAR: Duration = Duration::from_millis(1);
-/// One way between regions.
-const FAR: Duration = Duration::from_millis(5);
-/// When the first host reads that a target is leaving.
-const LEAVES_AT: Duration = Duration::from_secs(10);
-/// When a host stops without a word.
-const DIES_AT: Duration = Duration::from_secs(15);
-/// Share of the hosts and targets that stand in the first region.
+/// One-way latency within a region.
+const REGION_LATENCY: Duration = Duration::from_millis(1);
+/// One-way latency between regions.
+const CROSS_REGION_LATENCY: Duration = Duration::from_millis(5);
+/// Time at which the first host reads that a target is leaving.
+const TARGET_LEAVES_AT: Duration = Duration::from_secs(10);
+/// Time at which a host crashes.
+const HOST_FAILS_AT: Duration = Duration::from_secs(15);
+/// Share of the hosts and targets that are in the first region.
 const FIRST_REGION_SHARE: f64 = 2.0 / 3.0;
 
-/// What to measure.
+/// Parameters of a simulation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MeasureOptions {
-    /// Entry hosts, in two regions.
+    /// Number of entry hosts, in two regions.
     pub hosts: usize,
-    /// Targets, in two regions.
+    /// Number of targets, in two regions.
     pub targets: usize,
-    /// Virtual time.
+    /// Duration of the simulation in virtual time.
     pub duration: Duration,
-    /// Seed of all that is random.
+    /// Seed of all random numbers.
     pub seed: u64,
 }
 
-/// Control traffic and speed of news among hosts, in virtual time.
+/// Control traffic, processor time and propagation delay of updates among hosts.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Measure {
-    /// Bytes that a host sends a second, with the overhead of the lower layers, mean over hosts.
+pub struct Measurement {
+    /// Mean rate at which a host sends, including the overhead of the lower layers, in bytes per second.
     pub sent_per_second: f64,
-    /// Bytes that a host receives a second, mean over hosts.
+    /// Mean rate at which a host receives, in bytes per second.
     pub received_per_second: f64,
-    /// Bytes that the busiest host sends and receives a second.
+    /// Rate at which the busiest host sends and receives, in bytes per second.
     pub busiest_per_second: f64,
-    /// Heartbeats that a host sends a second, mean over hosts.
+    /// Mean rate at which a host sends heartbeats, per second.
     pub heartbeats_per_second: f64,
-    /// Processor time of a host in a second, in seconds, mean over hosts.
+    /// Mean processor time of a host per second of virtual time, in seconds.
     pub cpu_per_second: f64,
-    /// Time until the median host gave a target no more work after the first host read that it leaves.
+    /// Time from the first host reading that a target is leaving until the median host shows it as leaving.
     pub leaving_median: Duration,
     /// The same for the last host.
     pub leaving_last: Duration,
-    /// Hosts that learned it.
-    pub leaving_learned: usize,
-    /// Time until the median host took a dead host out of its view.
+    /// Number of hosts that showed the change.
+    pub leaving_observers: usize,
+    /// Time from the crash of a host until the median host removed it from its view.
     pub dead_median: Duration,
     /// The same for the last host.
     pub dead_last: Duration,
-    /// Hosts that learned it.
-    pub dead_learned: usize,
-    /// Mean age of the load summaries that a host holds at the end, in seconds.
+    /// Number of hosts that showed the change.
+    pub dead_observers: usize,
+    /// Mean age of the load summaries at the end, over all hosts, in seconds.
     pub summary_age: f64,
-    /// Share of targets of which a host holds a summary at the end, mean over hosts.
+    /// Mean share of the targets of which a host has a load summary at the end.
     pub summary_share: f64,
 }
 
-/// Runs the state machines of all hosts in virtual time; `clock` measures processor time.
+/// Simulates the state machines of all hosts in virtual time; `clock` measures processor time.
 ///
 /// ```
 /// use std::time::Duration;
@@ -82,17 +82,17 @@
 /// let measure = membership::measure(options, &utils::SystemClock::new());
 /// assert!(measure.heartbeats_per_second > 0.0);
 /// ```
-pub fn measure(options: MeasureOptions, clock: &dyn Clock) -> Measure {
-    let mut run = Run::new(options);
+pub fn measure(options: MeasureOptions, clock: &dyn Clock) -> Measurement {
+    let mut simulation = Simulation::new(options);
     let began = clock.now();
-    run.run();
+    simulation.run();
     let spent = clock.now() - began;
-    run.finish(spent)
+    simulation.finish(spent)
 }
 
-/// Something due at a time.
+/// A scheduled event.
 #[derive(Debug, Clone)]
-enum Due {
+enum Event {
     Tick(usize),
     Watch(usize),
     Deliver {
@@ -102,29 +102,29 @@
     },
 }
 
-/// An entry of the queue; the earliest comes first.
+/// An entry of the event queue, ordered such that the heap returns the earliest first.
 #[derive(Debug, Clone)]
-struct Entry {
+struct QueuedEvent {
     at: Monotonic,
     number: u64,
-    due: Due,
+    event: Event,
 }
 
-impl PartialEq for Entry {
+impl PartialEq for QueuedEvent {
     fn eq(&self, other: &Self) -> bool {
         self.number == other.number
     }
 }
 
-impl Eq for Entry {}
+impl Eq for QueuedEvent {}
 
-impl PartialOrd for Entry {
+impl PartialOrd for QueuedEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Entry {
+impl Ord for QueuedEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (other.at, other.number).cmp(&(self.at, self.number))
     }
@@ -137,23 +137,23 @@
     heartbeats: u64,
 }
 
-struct Run {
+struct Simulation {
     options: MeasureOptions,
     list: Vec<ListedHost>,
     hosts: Vec<Membership>,
     index: BTreeMap<HostId, usize>,
     watched: Vec<Vec<TargetTag>>,
     traffic: Vec<Traffic>,
-    queue: BinaryHeap<Entry>,
+    queue: BinaryHeap<QueuedEvent>,
     scheduled: u64,
     now: Monotonic,
     rng: ChaCha8Rng,
     dead: Option<usize>,
-    left_at: Vec<Option<Monotonic>>,
-    gone_at: Vec<Option<Monotonic>>,
+    leaving_seen_at: Vec<Option<Monotonic>>,
+    removed_at: Vec<Option<Monotonic>>,
 }
 
-impl Run {
+impl Simulation {
     fn new(options: MeasureOptions) -> Self {
         let list = list(options);
         let entries: Vec<_> = list.iter().filter(|h| h.role == HostRole::Entry).collect();
@@ -168,7 +168,7 @@
             .map(|(i, h)| Membership::new(identity(h), options.seed + i as u64, Duration::ZERO))
             .collect();
         let watched = watched(&list, &index);
-        let mut run = Self {
+        let mut simulation = Self {
             options,
             hosts,
             index,
@@ -179,12 +179,12 @@
             now: Duration::ZERO,
             rng: ChaCha8Rng::seed_from_u64(options.seed),
             dead: None,
-            left_at: vec![None; options.hosts],
-            gone_at: vec![None; options.hosts],
+            leaving_seen_at: vec![None; options.hosts],
+            removed_at: vec![None; options.hosts],
             list,
         };
-        run.start();
-        run
+        simulation.start();
+        simulation
     }
 
     fn start(&mut self) {
@@ -192,44 +192,44 @@
             let list = self.list.clone();
             self.hosts[i].step(Input::List(list), Duration::ZERO);
             let offset = TICK.mul_f64(self.rng.random());
-            self.schedule(offset, Due::Tick(i));
+            self.schedule(offset, Event::Tick(i));
             let offset = WATCH_INTERVAL.mul_f64(self.rng.random());
-            self.schedule(offset, Due::Watch(i));
+            self.schedule(offset, Event::Watch(i));
         }
     }
 
     fn run(&mut self) {
-        let mut has_left = false;
+        let mut is_leaving = false;
         while let Some(entry) = self.queue.pop() {
             if entry.at > self.options.duration {
                 return;
             }
             self.now = entry.at;
-            if self.now >= LEAVES_AT && !has_left {
-                has_left = true;
+            if self.now >= TARGET_LEAVES_AT && !is_leaving {
+                is_leaving = true;
                 self.leave_first_target();
             }
-            if self.now >= DIES_AT && self.dead.is_none() {
+            if self.now >= HOST_FAILS_AT && self.dead.is_none() {
                 self.dead = Some(self.hosts.len() - 1);
             }
-            self.take(entry.due);
+            self.handle(entry.event);
         }
     }
 
-    fn take(&mut self, due: Due) {
-        match due {
-            Due::Tick(i) if Some(i) == self.dead => {}
-            Due::Tick(i) => {
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::Tick(i) if Some(i) == self.dead => {}
+            Event::Tick(i) => {
                 self.step(i, Input::Tick);
-                self.schedule(self.now + TICK, Due::Tick(i));
+                self.schedule(self.now + TICK, Event::Tick(i));
             }
-            Due::Watch(i) if Some(i) == self.dead => {}
-            Due::Watch(i) => {
+            Event::Watch(i) if Some(i) == self.dead => {}
+            Event::Watch(i) => {
                 self.watch(i);
-                self.schedule(self.now + WATCH_INTERVAL, Due::Watch(i));
+                self.schedule(self.now + WATCH_INTERVAL, Event::Watch(i));
             }
-            Due::Deliver { to, .. } if Some(to) == self.dead => {}
-            Due::Deliver { from, to, heartbeat } => {
+            Event::Deliver { to, .. } if Some(to) == self.dead => {}
+            Event::Deliver { from, to, heartbeat } => {
                 let from = self.hosts[from].identity().id.clone();
                 self.step(to, Input::Received { from, heartbeat });
             }
@@ -247,7 +247,7 @@
             }
         }
         if changed {
-            self.look(i);
+            self.record_view_changes(i);
         }
     }
 
@@ -258,14 +258,18 @@
         self.traffic[from].heartbeats += 1;
         self.traffic[to].received += bytes as u64;
         let same = self.hosts[from].identity().region == self.hosts[to].identity().region;
-        let way = if same { NEAR } else { FAR };
-        self.schedule(self.now + way, Due::Deliver { from, to, heartbeat });
+        let latency = if same {
+            REGION_LATENCY
+        } else {
+            CROSS_REGION_LATENCY
+        };
+        self.schedule(self.now + latency, Event::Deliver { from, to, heartbeat });
     }
 
-    fn schedule(&mut self, at: Monotonic, due: Due) {
+    fn schedule(&mut self, at: Monotonic, event: Event) {
         self.scheduled += 1;
         let number = self.scheduled;
-        self.queue.push(Entry { at, number, due });
+        self.queue.push(QueuedEvent { at, number, event });
     }
 
     fn watch(&mut self, i: usize) {
@@ -289,42 +293,42 @@
         self.step(0, Input::List(list));
     }
 
-    /// Notes when a host's view first shows the leaving target and the dead host.
-    fn look(&mut self, i: usize) {
-        if self.now < LEAVES_AT {
+    /// Records when the view of a host first shows the leaving target and no longer shows the crashed host.
+    fn record_view_changes(&mut self, i: usize) {
+        if self.now < TARGET_LEAVES_AT {
             return;
         }
         let view = self.hosts[i].view(self.now);
         let leaving = |t: &crate::TargetEntry| t.liveness == TargetLiveness::Leaving;
         if view.targets.values().any(leaving) {
-            self.left_at[i].get_or_insert(self.now);
+            self.leaving_seen_at[i].get_or_insert(self.now);
         }
         let shown: usize = view.hosts.values().map(Vec::len).sum();
         if self.dead.is_some() && shown < self.hosts.len() {
-            self.gone_at[i].get_or_insert(self.now);
+            self.removed_at[i].get_or_insert(self.now);
         }
     }
 
-    fn finish(self, spent: Duration) -> Measure {
+    fn finish(self, spent: Duration) -> Measurement {
         let hosts = self.hosts.len() as f64;
         let seconds = self.options.duration.as_secs_f64();
         let total = |f: fn(&Traffic) -> u64| self.traffic.iter().map(f).sum::<u64>() as f64;
         let busiest = self.traffic.iter().map(|t| t.sent + t.received).max();
-        let left = delays(&self.left_at, LEAVES_AT);
-        let gone = delays(&self.gone_at, DIES_AT);
+        let leaving = delays(&self.leaving_seen_at, TARGET_LEAVES_AT);
+        let removed = delays(&self.removed_at, HOST_FAILS_AT);
         let (summary_age, summary_share) = self.summaries();
-        Measure {
+        Measurement {
             sent_per_second: total(|t| t.sent) / hosts / seconds,
             received_per_second: total(|t| t.received) / hosts / seconds,
             busiest_per_second: busiest.unwrap_or(0) as f64 / seconds,
             heartbeats_per_second: total(|t| t.heartbeats) / hosts / seconds,
             cpu_per_second: spent.as_secs_f64() / hosts / seconds,
-            leaving_median: left.get(left.len() / 2).copied().unwrap_or_default(),
-            leaving_last: left.last().copied().unwrap_or_default(),
-            leaving_learned: left.len(),
-            dead_median: gone.get(gone.len() / 2).copied().unwrap_or_default(),
-            dead_last: gone.last().copied().unwrap_or_default(),
-            dead_learned: gone.len(),
+            leaving_median: leaving.get(leaving.len() / 2).copied().unwrap_or_default(),
+            leaving_last: leaving.last().copied().unwrap_or_default(),
+            leaving_observers: leaving.len(),
+            dead_median: removed.get(removed.len() / 2).copied().unwrap_or_default(),
+            dead_last: removed.last().copied().unwrap_or_default(),
+            dead_observers: removed.len(),
             summary_age,
             summary_share,
         }
@@ -384,7 +388,7 @@
     }
 }
 
-/// The targets that each host watches.
+/// Returns the targets that each host watches.
 fn watched(list: &[ListedHost], index: &BTreeMap<HostId, usize>) -> Vec<Vec<TargetTag>> {
     let mut watched = vec![Vec::new(); index.len()];
     for region in ["north", "south"] {
@@ -399,8 +403,8 @@
     watched
 }
 
-impl Measure {
-    /// Bytes that a host sends and receives a second, mean over hosts.
+impl Measurement {
+    /// Returns the mean rate at which a host sends and receives, in bytes per second.
     pub fn bytes_per_second(&self) -> f64 {
         self.sent_per_second + self.received_per_second
     }
--- a/components/membership/src/membership.rs
+++ b/components/membership/src/membership.rs
@@ -7,37 +7,37 @@
 use rand_chacha::ChaCha8Rng;
 use utils::{HostId, Incarnation, Monotonic, RegionId};
 
-use crate::gossip::{Gossip, copies};
+use crate::gossip::{Gossip, transmissions};
 use crate::peer::Peer;
-use crate::target::{News, Targets};
+use crate::target::{SummaryChange, Targets};
 use crate::{
     Demand, Effect, HostTag, Input, MembershipEvent, MembershipView, Quarantined, Rumour, TargetSummary,
     TargetTag,
 };
 
-/// Time between two inputs after which the process counts as paused.
-const PAUSE: Duration = Duration::from_millis(1_500);
-/// Most news about hosts that wait to be sent.
+/// Time without input after which the process is considered to have been paused.
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(1_500);
+/// Maximum number of queued rumours.
 const RUMOUR_CAPACITY: usize = 64;
-/// Most summaries that wait to be sent.
+/// Maximum number of queued summaries of each kind.
 const SUMMARY_CAPACITY: usize = 256;
-/// Most quarantined requests that wait to be sent.
+/// Maximum number of queued quarantined requests.
 const QUARANTINE_CAPACITY: usize = 64;
-/// Unit of a summary's age.
+/// Unit of the age of a summary.
 const AGE_UNIT: Duration = Duration::from_millis(250);
 
-/// Who this host is.
+/// Identity of this host.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Identity {
-    /// Name.
+    /// Name of the host.
     pub id: HostId,
-    /// Region.
+    /// Region of the host.
     pub region: RegionId,
-    /// Run of the process; grows with each restart of the same host.
+    /// Incarnation of the process; grows with each restart of the host.
     pub incarnation: Incarnation,
 }
 
-/// Liveness of hosts and targets as one host sees it.
+/// Liveness of hosts and targets as observed by one host.
 ///
 /// ```
 /// use std::time::Duration;
@@ -49,56 +49,58 @@
 /// ```
 #[derive(Debug, Clone)]
 pub struct Membership {
-    /// Who this host is.
+    /// Identity of this host.
     pub(crate) own: Identity,
-    /// Raised to object to a suspicion.
+    /// Revision of the own status; increased to refute a suspicion.
     pub(crate) revision: u32,
-    /// Whether this host drains.
+    /// Whether this host is leaving.
     pub(crate) leaving: bool,
-    /// Source of nonces and of the order of probes.
+    /// Random number generator for nonces and the order of probes.
     pub(crate) rng: ChaCha8Rng,
-    /// Other entry hosts.
+    /// Other entry hosts by name.
     pub(crate) peers: BTreeMap<HostId, Peer>,
-    /// Names by tag.
+    /// Names of the other entry hosts by tag.
     pub(crate) tags: BTreeMap<HostTag, HostId>,
-    /// Own entry on the list.
+    /// Entry of this host on the platform's list.
     pub(crate) own_listed: Option<Arc<ListedHost>>,
     /// Hosts that this host probes.
     pub(crate) neighbours: Vec<HostId>,
-    /// Neighbours that are still to be probed in this round.
+    /// Neighbours that have not been probed in this round.
     pub(crate) round: Vec<HostId>,
     /// Time of the next probe.
     pub(crate) next_probe: Monotonic,
-    /// Probes sent for other hosts: the silent host, who asked, and with which nonce.
-    pub(crate) vouches: BTreeMap<u64, (HostId, HostId, u64)>,
-    /// Targets.
+    /// Indirect probes in flight by their nonce: the silent host, the requesting host and the nonce of its
+    /// request.
+    pub(crate) relayed_probes: BTreeMap<u64, (HostId, HostId, u64)>,
+    /// State of the targets.
     pub(crate) targets: Targets,
-    /// News about hosts.
+    /// Queued status updates about hosts.
     pub(crate) rumours: Gossip<HostTag, Rumour>,
-    /// Targets that leave or are silent, with the time of the report.
-    pub(crate) urgent: Gossip<(TargetTag, bool), (TargetSummary, Monotonic)>,
-    /// Load of targets, with the time of the report.
-    pub(crate) loads: Gossip<TargetTag, (TargetSummary, Monotonic)>,
-    /// Quarantined requests, with the time of the quarantine.
+    /// Queued summaries of targets that are leaving or whose silence began or ended, with the time at which
+    /// the report was read.
+    pub(crate) urgent_summaries: Gossip<(TargetTag, bool), (TargetSummary, Monotonic)>,
+    /// Queued load summaries of targets, with the time at which the report was read.
+    pub(crate) load_summaries: Gossip<TargetTag, (TargetSummary, Monotonic)>,
+    /// Queued quarantined requests, with the start of the quarantine.
     pub(crate) quarantined: Gossip<[u8; 16], (Quarantined, Monotonic)>,
-    /// State of the release notes.
+    /// Encoded state of the release notes at this host.
     pub(crate) notes: Vec<u8>,
     /// Demand of workspaces at this host.
     pub(crate) demand: Vec<Demand>,
-    /// Where the next heartbeat starts in `demand`.
+    /// Position in `demand` at which the next heartbeat starts, modulo its length.
     pub(crate) demand_next: usize,
     /// Time of the last input.
     pub(crate) last_input: Monotonic,
-    /// Set by a pause until a probe sent later is answered.
+    /// End of the last pause; `None` once a probe sent after it has been answered.
     pub(crate) stale_since: Option<Monotonic>,
-    /// Whether too many neighbours are silent at once.
+    /// Whether more than half of the neighbours in the region are silent at once.
     pub(crate) isolated: bool,
-    /// Hosts and targets that are kept although the last list dropped them.
+    /// Number of hosts and targets that are kept although the last list dropped them.
     kept: usize,
 }
 
 impl Membership {
-    /// A host that knows nobody. `seed` must differ between runs.
+    /// Creates the state of a host that knows no other hosts. `seed` must differ between runs.
     pub fn new(own: Identity, seed: u64, now: Monotonic) -> Self {
         Self {
             own,
@@ -111,11 +113,11 @@
             neighbours: Vec::new(),
             round: Vec::new(),
             next_probe: now,
-            vouches: BTreeMap::new(),
+            relayed_probes: BTreeMap::new(),
             targets: Targets::default(),
             rumours: Gossip::new(RUMOUR_CAPACITY),
-            urgent: Gossip::new(SUMMARY_CAPACITY),
-            loads: Gossip::new(SUMMARY_CAPACITY),
+            urgent_summaries: Gossip::new(SUMMARY_CAPACITY),
+            load_summaries: Gossip::new(SUMMARY_CAPACITY),
             quarantined: Gossip::new(QUARANTINE_CAPACITY),
             notes: Vec::new(),
             demand: Vec::new(),
@@ -127,30 +129,30 @@
         }
     }
 
-    /// Takes an input and returns what to do.
+    /// Processes an input and returns the actions for the caller.
     pub fn step(&mut self, input: Input, now: Monotonic) -> Vec<Effect> {
         let mut effects = Vec::new();
-        let before = self.last_input;
-        self.notice_pause(now, &mut effects);
+        let previous_input = self.last_input;
+        self.detect_pause(now, &mut effects);
         match input {
-            Input::Tick => self.tick(before, now, &mut effects),
-            Input::List(list) => self.take_list(&list, now, &mut effects),
+            Input::Tick => self.tick(previous_input, now, &mut effects),
+            Input::List(list) => self.apply_list(&list, now, &mut effects),
             Input::Received { from, heartbeat } => self.receive(&from, heartbeat, now, &mut effects),
             Input::Observed { target, observation } => {
                 if self.targets.observe(&target, observation, now) {
                     effects.push(Effect::ViewChanged);
                 }
             }
-            Input::Watched(summary) => self.take_summary(summary, now, now, &mut effects),
+            Input::Watched(summary) => self.apply_summary(summary, now, now, &mut effects),
             Input::Notes(notes) => self.notes = notes,
-            Input::Quarantine(entry) => self.take_quarantine(entry, now),
+            Input::Quarantine(entry) => self.add_quarantine(entry, now),
             Input::Demand(demand) => self.demand = demand,
             Input::Leave => self.leave(&mut effects, now),
         }
         effects
     }
 
-    /// Hosts and targets as of now.
+    /// Returns the hosts and targets as of `now`.
     pub fn view(&self, now: Monotonic) -> MembershipView {
         MembershipView {
             taken_at: now,
@@ -162,22 +164,22 @@
         }
     }
 
-    /// Who this host is.
+    /// Returns the identity of this host.
     pub fn identity(&self) -> &Identity {
         &self.own
     }
 
-    /// Hosts that this host probes.
+    /// Returns the hosts that this host probes.
     pub fn neighbours(&self) -> &[HostId] {
         &self.neighbours
     }
 
-    /// Hosts on the list, this host included.
+    /// Returns the number of known entry hosts, this host included.
     pub fn host_count(&self) -> usize {
         self.peers.len() + 1
     }
 
-    /// Where a listed host takes heartbeats.
+    /// Returns the address at which a listed host receives heartbeats.
     pub fn peer_address(&self, id: &str) -> Option<std::net::SocketAddr> {
         self.peers.get(id).and_then(|peer| peer.listed.peer_address)
     }
@@ -186,56 +188,61 @@
         self.rng.next_u64()
     }
 
-    pub(crate) fn copies(&self) -> u32 {
-        copies(self.host_count())
+    pub(crate) fn transmissions(&self) -> u32 {
+        transmissions(self.host_count())
     }
 
-    pub(crate) fn spread(&mut self, rumour: Rumour) {
-        let copies = self.copies();
-        self.rumours.push(rumour.host, rumour, copies);
+    pub(crate) fn queue_rumour(&mut self, rumour: Rumour) {
+        let transmissions = self.transmissions();
+        self.rumours.push(rumour.host, rumour, transmissions);
     }
 
-    /// Takes a summary whose report was read at `read_at`, and passes it on if it is news.
-    pub(crate) fn take_summary(
+    /// Applies a summary whose report was read at `read_at`, and queues it for gossip if it changes what is
+    /// known.
+    pub(crate) fn apply_summary(
         &mut self,
         summary: TargetSummary,
         read_at: Monotonic,
         now: Monotonic,
         effects: &mut Vec<Effect>,
     ) {
-        let copies = self.copies();
-        match self.targets.summarize(summary, read_at, now) {
-            News::None => {}
-            News::Load => self.loads.push(summary.target, (summary, read_at), copies),
-            News::State => {
+        let transmissions = self.transmissions();
+        match self.targets.record_summary(summary, read_at, now) {
+            SummaryChange::None => {}
+            SummaryChange::Load => {
+                self.load_summaries
+                    .push(summary.target, (summary, read_at), transmissions)
+            }
+            SummaryChange::State => {
                 let key = (summary.target, summary.leaving);
-                self.urgent.push(key, (summary, read_at), copies);
+                self.urgent_summaries.push(key, (summary, read_at), transmissions);
                 effects.push(Effect::ViewChanged);
             }
         }
     }
 
-    pub(crate) fn take_quarantine(&mut self, entry: Quarantined, now: Monotonic) {
-        let since = now.saturating_sub(Duration::from_secs(entry.age.into()));
-        let copies = self.copies();
-        self.quarantined.push(entry.fingerprint, (entry, since), copies);
+    pub(crate) fn add_quarantine(&mut self, entry: Quarantined, now: Monotonic) {
+        let quarantined_at = now.saturating_sub(Duration::from_secs(entry.age.into()));
+        let transmissions = self.transmissions();
+        self.quarantined
+            .push(entry.fingerprint, (entry, quarantined_at), transmissions);
     }
 
-    /// Age of something that happened at `at`, as summaries carry it.
+    /// Returns the age of an event at `at` in units of a summary's age.
     pub(crate) fn age(at: Monotonic, now: Monotonic) -> u8 {
         let units = now.saturating_sub(at).as_millis() / AGE_UNIT.as_millis();
         u8::try_from(units).unwrap_or(u8::MAX)
     }
 
-    /// When something happened that a summary gives this age.
-    pub(crate) fn happened(age: u8, now: Monotonic) -> Monotonic {
+    /// Returns the time of an event from the age in a summary.
+    pub(crate) fn time_at_age(age: u8, now: Monotonic) -> Monotonic {
         now.saturating_sub(AGE_UNIT * u32::from(age))
     }
 
-    fn notice_pause(&mut self, now: Monotonic, effects: &mut Vec<Effect>) {
+    fn detect_pause(&mut self, now: Monotonic, effects: &mut Vec<Effect>) {
         let gap = now.saturating_sub(self.last_input);
         self.last_input = now;
-        if gap < PAUSE {
+        if gap < PAUSE_THRESHOLD {
             return;
         }
         for peer in self.peers.values_mut() {
@@ -258,12 +265,13 @@
         effects.push(Effect::ViewChanged);
     }
 
-    fn take_list(&mut self, list: &[ListedHost], now: Monotonic, effects: &mut Vec<Effect>) {
+    fn apply_list(&mut self, list: &[ListedHost], now: Monotonic, effects: &mut Vec<Effect>) {
         let (kept_targets, leaving) = self.targets.update(list);
         for id in leaving {
             if let Some(summary) = self.targets.leaving_summary(&id) {
-                let copies = self.copies();
-                self.urgent.push((summary.target, true), (summary, now), copies);
+                let transmissions = self.transmissions();
+                self.urgent_summaries
+                    .push((summary.target, true), (summary, now), transmissions);
             }
         }
         let kept_hosts = self.update_hosts(list, now);
@@ -283,7 +291,7 @@
     }
 }
 
-/// Whether the entry is an entry host.
+/// Returns whether a listed host is an entry host.
 pub(crate) fn is_entry(host: &ListedHost) -> bool {
     host.role == HostRole::Entry
 }
--- a/components/membership/src/neighbours.rs
+++ b/components/membership/src/neighbours.rs
@@ -2,15 +2,16 @@
 
 use utils::{HostId, RegionId, rendezvous_score};
 
-/// Rings over the hosts of the own region.
+/// Number of hash rings over the hosts of the own region.
 const REGION_RINGS: u8 = 3;
-/// Rings over all hosts.
+/// Number of hash rings over all hosts.
 const GLOBAL_RINGS: u8 = 1;
 
-/// The hosts that `own` probes: the next and the previous host on a few rings in hash order.
+/// Returns the hosts that `own` probes: its successor and predecessor on a few hash rings, and all hosts of
+/// its region if these are few.
 ///
-/// Each host has the same number of neighbours however many hosts there are, the relation is
-/// mutual, and a host that joins or goes changes two neighbours a ring.
+/// The number of neighbours of a host is bounded independently of the number of hosts, the relation is
+/// symmetric, and a host that joins or leaves changes the neighbours of two other hosts per ring.
 ///
 /// ```
 /// use std::sync::Arc;
@@ -28,8 +29,8 @@
         found.extend(adjacent(own, ring, hosts.iter()));
     }
     let mut local = hosts.iter().filter(|(id, r)| r == region && id != own);
-    let room = usize::from(2 * REGION_RINGS);
-    if local.clone().count() <= room {
+    let max_local = usize::from(2 * REGION_RINGS);
+    if local.clone().count() <= max_local {
         found.extend(local.by_ref().map(|(id, _)| id.clone()));
     }
     found.into_iter().collect()
@@ -40,10 +41,10 @@
     ring: u8,
     hosts: impl Iterator<Item = &'a (HostId, RegionId)>,
 ) -> BTreeSet<HostId> {
-    let mine = position(ring, own);
+    let own_position = position(ring, own);
     let mut others: Vec<_> = hosts
         .filter(|(id, _)| id != own)
-        .map(|(id, _)| (position(ring, id).wrapping_sub(mine), id))
+        .map(|(id, _)| (position(ring, id).wrapping_sub(own_position), id))
         .collect();
     others.sort_unstable();
     [others.first(), others.last()]
--- a/components/membership/src/ownership.rs
+++ b/components/membership/src/ownership.rs
@@ -5,19 +5,19 @@
 
 use crate::MembershipView;
 
-/// Hosts that watch a target.
+/// Number of hosts that watch a target.
 const WATCHERS: usize = 2;
-/// Hosts that hold a shard of the directory.
+/// Number of hosts that hold a shard of the directory.
 const SHARD_HOLDERS: usize = 2;
-/// Hosts that drive a model's rollout.
+/// Number of hosts that own a model's rollout.
 const ROLLOUT_OWNERS: usize = 1;
-/// Shards of the directory in a region.
+/// Number of shards of the directory in a region.
 pub const SHARDS: u16 = 256;
 
-/// Number of a shard of the directory.
+/// Index of a shard of the directory, below [`SHARDS`].
 pub type ShardId = u16;
 
-/// The shard that holds a prompt root.
+/// Returns the shard that holds a prompt root.
 ///
 /// ```
 /// assert!(membership::shard(&utils::digest(b"prompt")) < membership::SHARDS);
@@ -26,7 +26,8 @@
     ShardId::from(root.as_bytes()[0])
 }
 
-/// The owners of keys by rendezvous hashing, kept up to date when hosts or keys come and go.
+/// Assigns keys to owners by rendezvous hashing. Adding or removing hosts or keys updates the assignment
+/// incrementally.
 ///
 /// ```
 /// let mut owners = membership::Owners::new(2);
@@ -36,61 +37,62 @@
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct Owners {
-    /// Owners of each key.
-    copies: usize,
-    /// Hosts that can own.
+    /// Number of owners of each key.
+    owner_count: usize,
+    /// Hosts that are eligible as owners.
     hosts: BTreeSet<HostId>,
-    /// Best hosts by key, best first, with their scores.
+    /// Owners of each key with their scores, highest score first.
     best: BTreeMap<TargetId, Vec<(u64, HostId)>>,
-    /// Scores computed so far.
-    scored: u64,
+    /// Number of scores computed so far.
+    scores_computed: u64,
 }
 
 impl Owners {
-    /// No hosts and no keys; each key gets `copies` owners.
-    pub fn new(copies: usize) -> Self {
+    /// Creates an assignment without hosts and keys, in which each key gets `owner_count` owners.
+    pub fn new(owner_count: usize) -> Self {
         Self {
-            copies,
+            owner_count,
             ..Self::default()
         }
     }
 
-    /// Replaces the hosts; only keys whose owners change are computed again.
+    /// Replaces the hosts. For a key that loses an owner, all hosts are scored again; for any other key, only
+    /// the new hosts.
     pub fn set_hosts(&mut self, hosts: impl IntoIterator<Item = HostId>) {
         let hosts: BTreeSet<_> = hosts.into_iter().collect();
-        let gone: BTreeSet<_> = self.hosts.difference(&hosts).cloned().collect();
+        let removed: BTreeSet<_> = self.hosts.difference(&hosts).cloned().collect();
         let new: Vec<_> = hosts.difference(&self.hosts).cloned().collect();
         self.hosts = hosts;
         for (key, best) in &mut self.best {
-            if best.iter().any(|(_, host)| gone.contains(host)) {
-                self.scored += self.hosts.len() as u64;
-                *best = rank(key, self.hosts.iter(), self.copies);
+            if best.iter().any(|(_, host)| removed.contains(host)) {
+                self.scores_computed += self.hosts.len() as u64;
+                *best = rank(key, self.hosts.iter(), self.owner_count);
                 continue;
             }
-            self.scored += new.len() as u64;
-            let added = rank(key, new.iter(), self.copies);
-            merge(best, added, self.copies);
+            self.scores_computed += new.len() as u64;
+            let added = rank(key, new.iter(), self.owner_count);
+            merge(best, added, self.owner_count);
         }
     }
 
-    /// Replaces the keys.
+    /// Replaces the keys. Keys that were present keep their owners.
     pub fn set_keys(&mut self, keys: impl IntoIterator<Item = TargetId>) {
         let mut old = std::mem::take(&mut self.best);
         for key in keys {
             let best = old.remove(&key).unwrap_or_else(|| {
-                self.scored += self.hosts.len() as u64;
-                rank(&key, self.hosts.iter(), self.copies)
+                self.scores_computed += self.hosts.len() as u64;
+                rank(&key, self.hosts.iter(), self.owner_count)
             });
             self.best.insert(key, best);
         }
     }
 
-    /// Owners of a key, first owner first.
+    /// Returns the owners of a key, highest score first.
     pub fn owners(&self, key: &str) -> impl Iterator<Item = &HostId> {
         self.best.get(key).into_iter().flatten().map(|(_, host)| host)
     }
 
-    /// Keys that a host owns.
+    /// Returns the keys that a host owns.
     pub fn owned_by<'a>(&'a self, host: &'a str) -> impl Iterator<Item = &'a TargetId> {
         self.best
             .iter()
@@ -98,48 +100,48 @@
             .map(|(key, _)| key)
     }
 
-    /// Scores computed since the start; what an update costs.
-    pub fn scored(&self) -> u64 {
-        self.scored
+    /// Returns the number of scores computed since creation, a measure of the cost of updates.
+    pub fn scores_computed(&self) -> u64 {
+        self.scores_computed
     }
 }
 
-fn rank<'a>(key: &str, hosts: impl Iterator<Item = &'a HostId>, copies: usize) -> Vec<(u64, HostId)> {
-    let mut best = Vec::with_capacity(copies + 1);
+fn rank<'a>(key: &str, hosts: impl Iterator<Item = &'a HostId>, owner_count: usize) -> Vec<(u64, HostId)> {
+    let mut best = Vec::with_capacity(owner_count + 1);
     for host in hosts {
         let score = rendezvous_score(key.as_bytes(), host);
-        insert(&mut best, (score, host.clone()), copies);
+        insert(&mut best, (score, host.clone()), owner_count);
     }
     best
 }
 
-fn merge(best: &mut Vec<(u64, HostId)>, added: Vec<(u64, HostId)>, copies: usize) {
+fn merge(best: &mut Vec<(u64, HostId)>, added: Vec<(u64, HostId)>, owner_count: usize) {
     for item in added {
-        insert(best, item, copies);
+        insert(best, item, owner_count);
     }
 }
 
-fn insert(best: &mut Vec<(u64, HostId)>, item: (u64, HostId), copies: usize) {
+fn insert(best: &mut Vec<(u64, HostId)>, item: (u64, HostId), owner_count: usize) {
     let place = best.partition_point(|known| *known > item);
     best.insert(place, item);
-    best.truncate(copies);
+    best.truncate(owner_count);
 }
 
-/// Who watches which targets, holds which shards and drives which rollouts.
+/// Assignment of target watchers, shard holders and rollout owners to hosts.
 #[derive(Debug, Clone)]
 pub struct Ownership {
-    /// This host.
+    /// Name of this host.
     own: HostId,
-    /// Watchers of the targets of each region.
+    /// Watchers of targets, by region.
     watchers: BTreeMap<RegionId, Owners>,
-    /// Holders of the shards of each region.
+    /// Holders of shards, by region.
     shards: BTreeMap<RegionId, Owners>,
-    /// Drivers of rollouts.
+    /// Owners of rollouts.
     rollouts: Owners,
 }
 
 impl Ownership {
-    /// Nothing is owned before the first update.
+    /// Creates an assignment in which nothing has an owner until the first update.
     ///
     /// ```
     /// let ownership = membership::Ownership::new("entry-1".into());
@@ -154,7 +156,7 @@
         }
     }
 
-    /// Takes the live hosts and the targets of a view, and the models that are deployed.
+    /// Updates the assignment to the live hosts and targets of a view and the deployed models.
     pub fn update(&mut self, view: &MembershipView, models: impl IntoIterator<Item = ModelId>) {
         let mut all = Vec::new();
         for region in view.hosts.keys() {
@@ -166,7 +168,7 @@
         self.rollouts.set_keys(models);
     }
 
-    /// Targets that this host watches.
+    /// Returns the targets that this host watches.
     pub fn watched(&self) -> BTreeSet<TargetId> {
         self.watchers
             .values()
@@ -175,7 +177,7 @@
             .collect()
     }
 
-    /// Hosts that watch a target, first watcher first.
+    /// Returns the hosts that watch a target, highest score first.
     pub fn watchers(&self, target: &str) -> Vec<HostId> {
         self.watchers
             .values()
@@ -184,15 +186,15 @@
             .collect()
     }
 
-    /// Hosts of a region that hold the shard of a prompt root.
+    /// Returns the hosts of a region that hold the shard of a prompt root.
     pub fn shard_holders(&self, region: &str, root: &Digest) -> Vec<HostId> {
         let key = shard(root).to_string();
         let owners = self.shards.get(region);
         owners.into_iter().flat_map(|o| o.owners(&key)).cloned().collect()
     }
 
-    /// Whether this host drives the rollout of a model.
-    pub fn drives_rollout(&self, model: &str) -> bool {
+    /// Returns whether this host owns the rollout of a model.
+    pub fn owns_rollout(&self, model: &str) -> bool {
         self.rollouts.owners(model).any(|host| *host == self.own)
     }
 
--- a/components/membership/src/peer.rs
+++ b/components/membership/src/peer.rs
@@ -6,48 +6,48 @@
 
 use crate::{Damping, HostStatus, HostTag, Rumour};
 
-/// Time without an echo after which other hosts are asked to probe.
+/// Time without an echo after which indirect probes are requested.
 pub(crate) const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time without an echo or a vouch after which a host is suspected.
 pub(crate) const SUSPECT_AFTER: Duration = Duration::from_millis(1_500);
-/// Time for a suspected host to object.
+/// Time after which a suspected host that has not refuted the suspicion is considered dead.
 pub(crate) const DEAD_AFTER: Duration = Duration::from_secs(3);
 
-/// A probe without an echo so far.
+/// A probe whose echo has not arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Outstanding {
+pub(crate) struct OutstandingProbe {
     /// Nonce of the probe.
     pub(crate) nonce: u64,
-    /// When it was sent.
+    /// Time at which the probe was sent.
     pub(crate) sent: Monotonic,
-    /// Whether others were asked to probe.
-    pub(crate) indirect: bool,
+    /// Whether indirect probes were requested.
+    pub(crate) indirect_sent: bool,
 }
 
-/// What is known about another entry host.
+/// State of another entry host as this host knows it.
 #[derive(Debug, Clone)]
 pub(crate) struct Peer {
-    /// Entry on the list.
+    /// Its entry on the platform's list.
     pub(crate) listed: Arc<ListedHost>,
-    /// Whether the list no longer names it.
+    /// Whether the current list no longer contains the host.
     pub(crate) unlisted: bool,
     /// Last known incarnation.
     pub(crate) incarnation: Incarnation,
-    /// Revision of what is known.
+    /// Last known revision of its status.
     pub(crate) revision: u32,
-    /// What is known.
+    /// Last known status.
     pub(crate) status: HostStatus,
-    /// When the status changed.
-    pub(crate) since: Monotonic,
-    /// When the last answered probe was sent.
-    pub(crate) heard_at: Option<Monotonic>,
-    /// When the first of the unanswered probes was sent.
+    /// Time of the last change of the status.
+    pub(crate) status_since: Monotonic,
+    /// Time at which the last answered probe was sent.
+    pub(crate) last_contact: Option<Monotonic>,
+    /// Time at which the first of the unanswered probes was sent.
     pub(crate) silent_since: Option<Monotonic>,
-    /// Nonce of the request to other hosts to probe this one.
+    /// Nonce of the last request for indirect probes.
     pub(crate) indirect_nonce: Option<u64>,
-    /// The latest probe without an echo.
-    pub(crate) outstanding: Option<Outstanding>,
-    /// Hysteresis for hosts that fail and recover.
+    /// The latest probe, until its echo arrives.
+    pub(crate) outstanding: Option<OutstandingProbe>,
+    /// Flap damping.
     pub(crate) damping: Damping,
 }
 
@@ -59,8 +59,8 @@
             unlisted: false,
             revision: 0,
             status: HostStatus::Alive,
-            since: now,
-            heard_at: None,
+            status_since: now,
+            last_contact: None,
             silent_since: None,
             indirect_nonce: None,
             outstanding: None,
@@ -76,7 +76,7 @@
         HostTag::of(&self.listed.id)
     }
 
-    /// What this host tells others about the peer.
+    /// Returns the known status of the peer as a rumour.
     pub(crate) fn rumour(&self) -> Rumour {
         Rumour {
             host: self.tag(),
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Sets the status; says whether it changed.
+    /// Sets the status; returns whether it changed.
     pub(crate) fn set_status(&mut self, status: HostStatus, now: Monotonic) -> bool {
         if self.status == status {
             return false;
@@ -97,11 +97,11 @@
             _ => {}
         }
         self.status = status;
-        self.since = now;
+        self.status_since = now;
         true
     }
 
-    /// Takes news about the peer; says whether it was newer than what was known.
+    /// Applies a rumour about the peer; returns whether it was newer than the known status.
     pub(crate) fn apply(&mut self, rumour: &Rumour, now: Monotonic) -> bool {
         let known = (self.incarnation, self.revision, self.status);
         if (rumour.incarnation, rumour.revision, rumour.status) <= known {
@@ -110,7 +110,7 @@
         if rumour.incarnation > self.incarnation {
             self.outstanding = None;
             self.silent_since = None;
-            self.heard_at = None;
+            self.last_contact = None;
         }
         self.incarnation = rumour.incarnation;
         self.revision = rumour.revision;
@@ -118,21 +118,21 @@
         true
     }
 
-    /// Whether probes have gone unanswered for long.
+    /// Returns whether probes have been unanswered for [`SUSPECT_AFTER`].
     pub(crate) fn is_silent(&self, now: Monotonic) -> bool {
         self.silent_since
             .is_some_and(|since| now.saturating_sub(since) >= SUSPECT_AFTER)
     }
 
-    /// Whether this host itself hears the peer, against a suspicion that others spread.
-    pub(crate) fn is_heard_since_suspicion(&self, rumour: &Rumour) -> bool {
+    /// Returns whether answers to probes of this host contradict a rumour that the peer is suspect.
+    pub(crate) fn contradicts(&self, rumour: &Rumour) -> bool {
         rumour.status == HostStatus::Suspect
             && rumour.incarnation == self.incarnation
-            && self.heard_at.is_some()
+            && self.last_contact.is_some()
             && self.silent_since.is_none()
     }
 
-    /// Whether the peer counts as live for ownership and for views.
+    /// Returns whether the peer counts as live for ownership and views.
     pub(crate) fn is_usable(&self, now: Monotonic) -> bool {
         match self.status {
             HostStatus::Dead => false,
--- a/components/membership/src/polling.rs
+++ b/components/membership/src/polling.rs
@@ -1,15 +1,15 @@
 use std::time::Duration;
 
-/// Reads a second of one kind that all hosts together send to the platform.
+/// Maximum rate of reads of one kind that all hosts together send to the platform, in reads per second.
 const READS_PER_SECOND: f64 = 150.0;
-/// First wait after a failed call.
-const FIRST_WAIT: Duration = Duration::from_millis(250);
-/// Longest wait between two tries.
-const LONGEST_WAIT: Duration = Duration::from_secs(8);
-/// Share of a wait that is random.
+/// Backoff after the first failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
+/// Maximum backoff, before jitter.
+const MAX_BACKOFF: Duration = Duration::from_secs(8);
+/// Maximum share by which jitter lengthens or shortens a wait.
 const JITTER: f64 = 0.25;
 
-/// Time between two reads of one kind by one of `hosts` hosts; `base` is the shortest.
+/// Returns the time between two reads of one kind by one of `hosts` hosts; at least `base`.
 ///
 /// ```
 /// use std::time::Duration;
@@ -22,10 +22,11 @@
     base.max(Duration::from_secs_f64(hosts as f64 / READS_PER_SECOND))
 }
 
-/// Waits between tries: doubled with each failure, spread by jitter, never shorter than the usual interval.
+/// Exponential backoff with jitter for a call that is repeated at an interval. Before jitter, a wait is never
+/// shorter than the interval.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Backoff {
-    /// Failures since the last success.
+    /// Number of failures since the last success.
     failures: u32,
 }
 
@@ -35,17 +36,17 @@
         self.failures = self.failures.saturating_add(1);
     }
 
-    /// Records a success.
+    /// Records a success and resets the backoff.
     pub fn succeed(&mut self) {
         self.failures = 0;
     }
 
-    /// Failures since the last success.
+    /// Number of failures since the last success.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// The next wait; `random` is between 0 and 1.
+    /// Returns the time to wait before the next call; `random` is a number between 0 and 1.
     ///
     /// ```
     /// use std::time::Duration;
@@ -58,11 +59,13 @@
     /// assert_eq!(wait, Duration::from_millis(500));
     /// ```
     pub fn wait(&self, interval: Duration, random: f64) -> Duration {
-        let doubled = match self.failures {
+        let backoff = match self.failures {
             0 => Duration::ZERO,
-            n => FIRST_WAIT.saturating_mul(1 << (n - 1).min(8)).min(LONGEST_WAIT),
+            n => INITIAL_BACKOFF
+                .saturating_mul(1 << (n - 1).min(8))
+                .min(MAX_BACKOFF),
         };
-        let spread = 1.0 - JITTER + 2.0 * JITTER * random;
-        interval.max(doubled).mul_f64(spread)
+        let jitter = 1.0 - JITTER + 2.0 * JITTER * random;
+        interval.max(backoff).mul_f64(jitter)
     }
 }
--- a/components/membership/src/pool.rs
+++ b/components/membership/src/pool.rs
@@ -4,23 +4,23 @@
 use metadata::{HostRole, HostState, ListedHost};
 use utils::RegionId;
 
-/// Share of a pool whose loss at once is not believed without other evidence.
+/// Share of a pool above which a simultaneous loss is distrusted.
 const DISTRUSTED_SHARE: f64 = 1.0 / 3.0;
-/// Fewest losses at once that can be distrusted in a pool of more than one.
-const FEWEST_LOSSES: usize = 2;
+/// Minimum number of simultaneous losses that is distrusted, unless the whole pool is lost.
+const MIN_LOSSES: usize = 2;
 
-/// Hosts that can stand in for each other: one model, service or role in one region.
+/// A group of interchangeable hosts: one model, service or role in one region.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Pool {
-    /// Region.
+    /// Region of the hosts.
     region: RegionId,
-    /// What the hosts run.
+    /// Role of the hosts, as returned by [`role_number`].
     role: u8,
-    /// Model or service; empty for entry hosts and stores.
+    /// Model or service that the hosts serve; empty for entry hosts and stores.
     serves: Arc<str>,
 }
 
-/// The pools that a host belongs to.
+/// Returns the pools of which a host is a member.
 pub(crate) fn pools(host: &ListedHost) -> Vec<Pool> {
     let pool = |serves: &Arc<str>| Pool {
         region: host.region.clone(),
@@ -42,15 +42,17 @@
     }
 }
 
-/// Whether the loss of `lost` out of `known` members at once is not believed.
+/// Returns whether a simultaneous loss of `lost` out of `known` members is distrusted: it is more likely a
+/// fault of the list or of this host's network than a real loss.
 pub(crate) fn is_distrusted(lost: usize, known: usize) -> bool {
     if lost == 0 {
         return false;
     }
-    lost == known || (lost >= FEWEST_LOSSES && lost as f64 > DISTRUSTED_SHARE * known as f64)
+    lost == known || (lost >= MIN_LOSSES && lost as f64 > DISTRUSTED_SHARE * known as f64)
 }
 
-/// The members whose loss is not believed, because too much of one of their pools is lost with them.
+/// Returns the lost members whose loss is distrusted because too large a share of one of their pools is lost
+/// at once.
 pub(crate) fn distrusted<'a>(
     members: impl Iterator<Item = &'a ListedHost>,
     lost: &BTreeSet<Arc<str>>,
@@ -58,16 +60,16 @@
     let mut counts: BTreeMap<Pool, (usize, Vec<Arc<str>>)> = BTreeMap::new();
     for member in members.filter(|m| m.state == HostState::Live) {
         for pool in pools(member) {
-            let (known, gone) = counts.entry(pool).or_default();
+            let (known, missing) = counts.entry(pool).or_default();
             *known += 1;
             if lost.contains(&member.id) {
-                gone.push(member.id.clone());
+                missing.push(member.id.clone());
             }
         }
     }
     counts
         .into_values()
-        .filter(|(known, gone)| is_distrusted(gone.len(), *known))
-        .flat_map(|(_, gone)| gone)
+        .filter(|(known, missing)| is_distrusted(missing.len(), *known))
+        .flat_map(|(_, missing)| missing)
         .collect()
 }
--- a/components/membership/src/probing.rs
+++ b/components/membership/src/probing.rs
@@ -2,23 +2,23 @@
 
 use utils::{HostId, Monotonic};
 
-use crate::peer::{DEAD_AFTER, Outstanding, PROBE_TIMEOUT, Peer, SUSPECT_AFTER};
+use crate::peer::{DEAD_AFTER, OutstandingProbe, PROBE_TIMEOUT, Peer, SUSPECT_AFTER};
 use crate::{Body, Effect, Heartbeat, HostStatus, HostTag, Membership, MembershipEvent, Rumour};
 
-/// Time between two probes.
+/// Time between two probes of a round.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
-/// Hosts that are asked to probe a silent one.
+/// Number of hosts that are asked for an indirect probe of a silent host.
 const INDIRECT_PROBES: usize = 2;
-/// Most probes for other hosts that wait for an echo.
-const MAX_VOUCHES: usize = 32;
+/// Maximum number of indirect probes in flight; when it is reached, all are dropped.
+const MAX_RELAYED_PROBES: usize = 32;
 
 impl Membership {
-    pub(crate) fn tick(&mut self, before: Monotonic, now: Monotonic, effects: &mut Vec<Effect>) {
-        self.judge_isolation(now, effects);
+    pub(crate) fn tick(&mut self, previous_input: Monotonic, now: Monotonic, effects: &mut Vec<Effect>) {
+        self.update_isolation(now, effects);
         for id in self.neighbours.clone() {
-            self.judge_neighbour(&id, now, effects);
+            self.check_neighbour(&id, now, effects);
         }
-        self.bury(now, effects);
+        self.declare_dead(now, effects);
         if now >= self.next_probe {
             self.next_probe = now + PROBE_INTERVAL;
             self.probe_next(now, effects);
@@ -26,23 +26,23 @@
         let recovered = self
             .peers
             .values()
-            .any(|p| p.damping.is_usable(now) && !p.damping.is_usable(before));
-        if recovered || self.targets.has_wait_ended(before, now) {
+            .any(|p| p.damping.is_usable(now) && !p.damping.is_usable(previous_input));
+        if recovered || self.targets.has_hold_ended(previous_input, now) {
             effects.push(Effect::ViewChanged);
         }
     }
 
-    /// Sends a probe, and remembers when.
+    /// Sends a probe and records the time of sending.
     pub(crate) fn probe(&mut self, to: &HostId, now: Monotonic, effects: &mut Vec<Effect>) {
         let nonce = self.nonce();
         let Some(peer) = self.peers.get_mut(to) else {
             return;
         };
-        let known = peer.outstanding;
-        peer.outstanding = Some(Outstanding {
+        let previous = peer.outstanding;
+        peer.outstanding = Some(OutstandingProbe {
             nonce,
             sent: now,
-            indirect: known.is_some_and(|o| o.indirect),
+            indirect_sent: previous.is_some_and(|o| o.indirect_sent),
         });
         peer.silent_since.get_or_insert(now);
         self.send(to, Body::Probe { nonce }, now, effects);
@@ -58,11 +58,11 @@
         if *from == self.own.id {
             return;
         }
-        if !self.learn_sender(from, &heartbeat, now, effects) {
+        if !self.update_sender(from, &heartbeat, now, effects) {
             return;
         }
-        let probe_sent = self.take_body(from, &heartbeat, now, effects);
-        self.take_gossip(from, heartbeat, probe_sent, now, effects);
+        let probe_sent = self.handle_body(from, &heartbeat, now, effects);
+        self.apply_gossip(from, heartbeat, probe_sent, now, effects);
     }
 
     fn probe_next(&mut self, now: Monotonic, effects: &mut Vec<Effect>) {
@@ -76,8 +76,9 @@
         }
     }
 
-    /// Takes what the heartbeat says about its sender; false for the past life of a restarted host.
-    fn learn_sender(
+    /// Updates the state of the sender of a heartbeat; returns `false` for a heartbeat of an earlier
+    /// incarnation.
+    fn update_sender(
         &mut self,
         from: &HostId,
         heartbeat: &Heartbeat,
@@ -90,7 +91,7 @@
         if heartbeat.incarnation < peer.incarnation {
             return false;
         }
-        let restarted = heartbeat.incarnation > peer.incarnation && peer.heard_at.is_some();
+        let restarted = heartbeat.incarnation > peer.incarnation && peer.last_contact.is_some();
         let status = match heartbeat.leaving {
             true => HostStatus::Leaving,
             false => HostStatus::Alive,
@@ -101,13 +102,13 @@
             revision: heartbeat.revision,
             status,
         };
-        let was = peer.status;
-        let is_news = peer.incarnation > 0 || was != status;
+        let previous = peer.status;
+        let is_new = peer.incarnation > 0 || previous != status;
         if peer.apply(&rumour, now) {
-            if is_news {
-                self.spread(rumour);
+            if is_new {
+                self.queue_rumour(rumour);
             }
-            if was != status {
+            if previous != status {
                 effects.push(Effect::ViewChanged);
             }
         }
@@ -119,7 +120,7 @@
         true
     }
 
-    fn take_body(
+    fn handle_body(
         &mut self,
         from: &HostId,
         heartbeat: &Heartbeat,
@@ -131,9 +132,9 @@
                 self.send(from, Body::Echo { nonce }, now, effects);
                 None
             }
-            Body::Echo { nonce } => self.take_echo(from, nonce, heartbeat, now, effects),
+            Body::Echo { nonce } => self.handle_echo(from, nonce, heartbeat, now, effects),
             Body::ProbeFor { nonce, about } => {
-                self.probe_for(from, nonce, about, now, effects);
+                self.relay_probe(from, nonce, about, now, effects);
                 None
             }
             Body::Vouch {
@@ -141,14 +142,15 @@
                 about,
                 incarnation,
             } => {
-                self.take_vouch(nonce, about, incarnation);
+                self.handle_vouch(nonce, about, incarnation);
                 None
             }
         }
     }
 
-    /// Takes an answer to a probe; the peer counts as heard from the time at which the probe was sent.
-    fn take_echo(
+    /// Handles an answer to a probe. The contact with the peer counts as of the time at which the probe was
+    /// sent, as the answer may have waited in a buffer.
+    fn handle_echo(
         &mut self,
         from: &HostId,
         nonce: u64,
@@ -156,35 +158,35 @@
         now: Monotonic,
         effects: &mut Vec<Effect>,
     ) -> Option<Monotonic> {
-        if let Some((about, asked, theirs)) = self.vouches.remove(&nonce) {
+        if let Some((about, requester, request_nonce)) = self.relayed_probes.remove(&nonce) {
             let body = Body::Vouch {
-                nonce: theirs,
+                nonce: request_nonce,
                 about: HostTag::of(&about),
                 incarnation: heartbeat.incarnation,
             };
-            self.send(&asked, body, now, effects);
+            self.send(&requester, body, now, effects);
             return None;
         }
         let peer = self.peers.get_mut(from)?;
         let probe = peer.outstanding.take_if(|o| o.nonce == nonce)?;
-        peer.heard_at = Some(probe.sent);
+        peer.last_contact = Some(probe.sent);
         peer.silent_since = None;
-        let back = peer.status != HostStatus::Leaving && peer.set_status(HostStatus::Alive, now);
+        let recovered = peer.status != HostStatus::Leaving && peer.set_status(HostStatus::Alive, now);
         if self.stale_since.is_some_and(|since| probe.sent >= since) {
             self.stale_since = None;
             effects.push(Effect::ViewChanged);
         }
-        if back {
+        if recovered {
             effects.push(Effect::Log(MembershipEvent::HostRecovered(from.clone())));
             effects.push(Effect::ViewChanged);
         }
         Some(probe.sent)
     }
 
-    fn probe_for(
+    fn relay_probe(
         &mut self,
-        asked: &HostId,
-        theirs: u64,
+        requester: &HostId,
+        request_nonce: u64,
         about: HostTag,
         now: Monotonic,
         effects: &mut Vec<Effect>,
@@ -192,28 +194,30 @@
         let Some(about) = self.tags.get(&about).cloned() else {
             return;
         };
-        if self.vouches.len() >= MAX_VOUCHES {
-            self.vouches.clear();
+        if self.relayed_probes.len() >= MAX_RELAYED_PROBES {
+            self.relayed_probes.clear();
         }
         let nonce = self.nonce();
-        self.vouches.insert(nonce, (about.clone(), asked.clone(), theirs));
+        self.relayed_probes
+            .insert(nonce, (about.clone(), requester.clone(), request_nonce));
         self.send(&about, Body::Probe { nonce }, now, effects);
     }
 
-    fn take_vouch(&mut self, nonce: u64, about: HostTag, incarnation: u64) {
+    fn handle_vouch(&mut self, nonce: u64, about: HostTag, incarnation: u64) {
         let peer = self.tags.get(&about).and_then(|id| self.peers.get_mut(id));
         let Some(peer) = peer else {
             return;
         };
-        let asked = peer.indirect_nonce.take_if(|n| *n == nonce).is_some();
-        if asked && incarnation >= peer.incarnation {
+        let is_expected = peer.indirect_nonce.take_if(|n| *n == nonce).is_some();
+        if is_expected && incarnation >= peer.incarnation {
             peer.silent_since = None;
             peer.outstanding = None;
         }
     }
 
-    /// Asks others about a silent neighbour, then suspects it.
-    fn judge_neighbour(&mut self, id: &HostId, now: Monotonic, effects: &mut Vec<Effect>) {
+    /// Requests indirect probes of a neighbour that is silent for [`PROBE_TIMEOUT`], and suspects it after
+    /// [`SUSPECT_AFTER`].
+    fn check_neighbour(&mut self, id: &HostId, now: Monotonic, effects: &mut Vec<Effect>) {
         let (isolated, region) = (self.isolated, self.own.region.clone());
         let Some(peer) = self.peers.get_mut(id) else {
             return;
@@ -225,26 +229,27 @@
         let Some(probe) = peer.outstanding.as_mut() else {
             return;
         };
-        if silent_for >= PROBE_TIMEOUT && !probe.indirect {
-            probe.indirect = true;
+        if silent_for >= PROBE_TIMEOUT && !probe.indirect_sent {
+            probe.indirect_sent = true;
             effects.push(Effect::Reconnect(id.clone()));
-            self.ask_others(id, now, effects);
+            self.request_indirect_probes(id, now, effects);
             return;
         }
         if silent_for < SUSPECT_AFTER || isolated || peer.status != HostStatus::Alive {
             return;
         }
-        // Silence of another region's host says more about the link; hosts of its own region judge it.
+        // Silence of a host in another region more likely means a failed link; only hosts of its own region
+        // suspect it.
         if peer.listed.region != region {
             return;
         }
         peer.set_status(HostStatus::Suspect, now);
         let rumour = peer.rumour();
-        self.spread(rumour);
+        self.queue_rumour(rumour);
         effects.push(Effect::Log(MembershipEvent::HostSuspected(id.clone())));
     }
 
-    fn ask_others(&mut self, about: &HostId, now: Monotonic, effects: &mut Vec<Effect>) {
+    fn request_indirect_probes(&mut self, about: &HostId, now: Monotonic, effects: &mut Vec<Effect>) {
         let nonce = self.nonce();
         if let Some(peer) = self.peers.get_mut(about) {
             peer.indirect_nonce = Some(nonce);
@@ -261,45 +266,45 @@
         self.probe(about, now, effects);
     }
 
-    /// Takes suspects that did not object for dead.
-    fn bury(&mut self, now: Monotonic, effects: &mut Vec<Effect>) {
+    /// Marks hosts as dead that have been suspected for [`DEAD_AFTER`] without refuting it.
+    fn declare_dead(&mut self, now: Monotonic, effects: &mut Vec<Effect>) {
         if self.isolated || self.stale_since.is_some() {
             return;
         }
-        let mut buried = Vec::new();
+        let mut dead = Vec::new();
         for peer in self.peers.values_mut() {
-            let due = now.saturating_sub(peer.since) >= DEAD_AFTER;
-            if peer.status == HostStatus::Suspect && due {
+            let is_due = now.saturating_sub(peer.status_since) >= DEAD_AFTER;
+            if peer.status == HostStatus::Suspect && is_due {
                 peer.set_status(HostStatus::Dead, now);
-                buried.push(peer.rumour());
+                dead.push(peer.rumour());
                 effects.push(Effect::Log(MembershipEvent::HostDead(peer.id().clone())));
             }
         }
-        if !buried.is_empty() {
+        if !dead.is_empty() {
             effects.push(Effect::ViewChanged);
         }
-        buried.into_iter().for_each(|rumour| self.spread(rumour));
+        dead.into_iter().for_each(|rumour| self.queue_rumour(rumour));
     }
 
-    /// Neighbours in the own region; all neighbours of a host that is alone in its region.
-    fn near_neighbours(&self) -> Vec<&Peer> {
+    /// Returns the neighbours in the own region, or all neighbours if this host has none there.
+    fn local_neighbours(&self) -> Vec<&Peer> {
         let all: Vec<_> = self
             .neighbours
             .iter()
             .filter_map(|id| self.peers.get(id))
             .collect();
-        let near: Vec<_> = all
+        let local: Vec<_> = all
             .iter()
             .copied()
             .filter(|p| p.listed.region == self.own.region)
             .collect();
-        if near.is_empty() { all } else { near }
+        if local.is_empty() { all } else { local }
     }
 
-    fn judge_isolation(&mut self, now: Monotonic, effects: &mut Vec<Effect>) {
-        let near = self.near_neighbours();
-        let silent = near.iter().filter(|p| p.is_silent(now)).count();
-        let isolated = silent >= 2 && 2 * silent > near.len();
+    fn update_isolation(&mut self, now: Monotonic, effects: &mut Vec<Effect>) {
+        let local = self.local_neighbours();
+        let silent = local.iter().filter(|p| p.is_silent(now)).count();
+        let isolated = silent >= 2 && 2 * silent > local.len();
         if isolated == self.isolated {
             return;
         }
--- a/components/membership/src/rollout.rs
+++ b/components/membership/src/rollout.rs
@@ -6,20 +6,20 @@
 
 use crate::{LoadSlot, MembershipView, TargetLiveness};
 
-/// Share of a model's targets in a region that may load at once; at least one may.
-const LOADING_SHARE: f64 = 1.0 / 3.0;
-/// Time after which an order without a visible effect is sent again.
+/// Maximum share of a model's targets in a region that load at once, rounded down but at least one target.
+const MAX_LOADING_SHARE: f64 = 1.0 / 3.0;
+/// Time after which an order whose effect is not reported is sent again.
 const REPEAT_AFTER: Duration = Duration::from_secs(5);
 
-/// Versions that models should have.
-pub type Wanted = BTreeMap<ModelId, WeightVersion>;
+/// Desired weight version of each model.
+pub type DesiredVersions = BTreeMap<ModelId, WeightVersion>;
 
-/// What a target reported last.
+/// Last report of a target.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Installed {
-    /// Models and versions that it serves.
+    /// Models that the target serves, with their weight versions.
     pub versions: Vec<(ModelId, WeightVersion)>,
-    /// Run of its process.
+    /// Incarnation of its process.
     pub incarnation: u64,
 }
 
@@ -32,8 +32,8 @@
     }
 }
 
-/// Brings targets to the wanted versions, a few at a time. It compares what targets report with what is
-/// wanted, and repeats.
+/// Brings targets to the desired weight versions, a few at a time: compares the reported versions with the
+/// desired ones and repeats orders whose effect is not reported.
 ///
 /// ```
 /// let rollout = membership::Rollout::default();
@@ -41,14 +41,14 @@
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct Rollout {
-    /// Last reports by target.
+    /// Last report of each target.
     installed: BTreeMap<TargetId, Installed>,
-    /// When each target got its last order.
+    /// Time of the last order to each target.
     ordered_at: BTreeMap<TargetId, Monotonic>,
 }
 
 impl Rollout {
-    /// Takes a target's report.
+    /// Records a target's report. A new incarnation of the target clears the time of its last order.
     pub fn report(&mut self, target: &TargetId, report: impl Into<Installed>) {
         let report = report.into();
         let known = self.installed.get(target).map(|i| i.incarnation);
@@ -58,41 +58,43 @@
         self.installed.insert(target.clone(), report);
     }
 
-    /// Loads that have ended: the target reports the version, or is gone.
+    /// Returns the targets whose loads have ended: the target reports the version or is no longer known.
     pub fn ended(&self, view: &MembershipView, loads: &[LoadSlot]) -> Vec<TargetId> {
-        let has_ended =
-            |slot: &&LoadSlot| !view.targets.contains_key(&slot.target) || self.has(&slot.target, slot);
+        let has_ended = |slot: &&LoadSlot| {
+            !view.targets.contains_key(&slot.target) || self.has_version(&slot.target, slot)
+        };
         let ended = loads.iter().filter(has_ended);
         ended.map(|slot| slot.target.clone()).collect()
     }
 
-    /// Loads to start next, at most `free`, with enough targets of each model and region left to serve.
+    /// Returns the loads to start next, at most `free`. Enough targets of each model and region continue to
+    /// serve.
     pub fn next_loads(
         &self,
         view: &MembershipView,
-        wanted: &Wanted,
+        desired: &DesiredVersions,
         loads: &[LoadSlot],
         free: usize,
     ) -> Vec<LoadSlot> {
         let mut busy: BTreeSet<_> = loads.iter().map(|slot| slot.target.clone()).collect();
         let mut next = Vec::new();
-        for (model, version) in wanted {
+        for (model, version) in desired {
             for targets in serving(view, model).into_values() {
                 let loading = targets.iter().filter(|t| busy.contains(*t)).count();
-                let mut room = most_loading(targets.len()).saturating_sub(loading);
+                let mut loads_left = max_loading(targets.len()).saturating_sub(loading);
                 for target in targets {
                     let slot = LoadSlot {
                         target: target.clone(),
                         model: model.clone(),
                         version: *version,
                     };
-                    if room == 0 || next.len() == free || busy.contains(&target) {
+                    if loads_left == 0 || next.len() == free || busy.contains(&target) {
                         continue;
                     }
-                    if !self.installed.contains_key(&target) || self.has(&target, &slot) {
+                    if !self.installed.contains_key(&target) || self.has_version(&target, &slot) {
                         continue;
                     }
-                    room -= 1;
+                    loads_left -= 1;
                     busy.insert(target);
                     next.push(slot);
                 }
@@ -101,7 +103,7 @@
         next
     }
 
-    /// Orders for the loads that are written in the lease's row and were not ordered lately.
+    /// Returns the loads in the lease's row that were not ordered recently.
     pub fn due<'a>(
         &'a self,
         loads: &'a [LoadSlot],
@@ -113,7 +115,7 @@
         })
     }
 
-    /// Records that an order is being sent, and returns it.
+    /// Returns the order for a load and records the time of sending.
     pub fn order(&mut self, slot: &LoadSlot, epoch: Epoch, now: Monotonic) -> Order {
         self.ordered_at.insert(slot.target.clone(), now);
         let kind = OrderKind::LoadVersion {
@@ -123,37 +125,37 @@
         Order { epoch, kind }
     }
 
-    /// Targets that do not report the wanted version of a model that they serve.
-    pub fn behind(&self, view: &MembershipView, wanted: &Wanted) -> usize {
-        let is_behind = |target: &TargetId, model: &ModelId, version: WeightVersion| {
+    /// Counts the live targets that do not report the desired version of a model that they serve.
+    pub fn outdated_count(&self, view: &MembershipView, desired: &DesiredVersions) -> usize {
+        let is_outdated = |target: &TargetId, model: &ModelId, version: WeightVersion| {
             let slot = LoadSlot {
                 target: target.clone(),
                 model: model.clone(),
                 version,
             };
-            !self.has(target, &slot)
+            !self.has_version(target, &slot)
         };
-        wanted
+        desired
             .iter()
             .flat_map(|(model, version)| {
                 let targets = serving(view, model).into_values().flatten();
                 targets.map(move |target| (target, model, *version))
             })
-            .filter(|(target, model, version)| is_behind(target, model, *version))
+            .filter(|(target, model, version)| is_outdated(target, model, *version))
             .count()
     }
 
-    fn has(&self, target: &TargetId, slot: &LoadSlot) -> bool {
+    fn has_version(&self, target: &TargetId, slot: &LoadSlot) -> bool {
         let installed = self.installed.get(target);
         installed.is_some_and(|i| i.versions.contains(&(slot.model.clone(), slot.version)))
     }
 }
 
-fn most_loading(targets: usize) -> usize {
-    ((targets as f64 * LOADING_SHARE) as usize).max(1)
+fn max_loading(targets: usize) -> usize {
+    ((targets as f64 * MAX_LOADING_SHARE) as usize).max(1)
 }
 
-/// Live targets of a model by region.
+/// Returns the live targets of a model by region.
 fn serving(view: &MembershipView, model: &ModelId) -> BTreeMap<RegionId, Vec<TargetId>> {
     let mut found: BTreeMap<RegionId, Vec<TargetId>> = BTreeMap::new();
     for (id, target) in &view.targets {
--- a/components/membership/src/tag.rs
+++ b/components/membership/src/tag.rs
@@ -1,22 +1,23 @@
 use serde::{Deserialize, Serialize};
 
-/// Short name of a host on the wire: the first bytes of its name's hash.
+/// Short identifier of a host on the wire: the first 6 bytes of the digest of its name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct HostTag([u8; 6]);
 
-/// Short name of a target on the wire. Two targets with the same tag get no summaries.
+/// Short identifier of a target on the wire: the first 4 bytes of the digest of its name. Load summaries of
+/// targets that share a tag are ignored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct TargetTag([u8; 4]);
 
-/// Short name of a workspace on the wire.
+/// Short identifier of a workspace on the wire: the first 4 bytes of the digest of its name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct WorkspaceTag([u8; 4]);
 
 impl HostTag {
-    /// The tag of a host's name.
+    /// Returns the tag of the host with this name.
     ///
     /// ```
     /// use membership::HostTag;
@@ -30,14 +31,14 @@
 }
 
 impl TargetTag {
-    /// The tag of a target's name.
+    /// Returns the tag of the target with this name.
     pub fn of(name: &str) -> Self {
         Self(prefix(name))
     }
 }
 
 impl WorkspaceTag {
-    /// The tag of a workspace's name.
+    /// Returns the tag of the workspace with this name.
     pub fn of(name: &str) -> Self {
         Self(prefix(name))
     }
--- a/components/membership/src/target.rs
+++ b/components/membership/src/target.rs
@@ -6,50 +6,50 @@
 use utils::{Monotonic, TargetId};
 
 use crate::pool::{Pool, distrusted, is_distrusted, pools};
-use crate::{Damping, Observation, TargetEntry, TargetLiveness, TargetSummary, TargetTag, Why};
+use crate::{Damping, LivenessReason, Observation, TargetEntry, TargetLiveness, TargetSummary, TargetTag};
 
-/// Failures in a row that make a target suspect.
+/// Number of consecutive failures after which a target is suspect.
 const FAILURES_TO_SUSPECT: u32 = 2;
-/// How long another host's word that a target is leaving holds against this host's own list.
-const TOLD_LEAVING_FOR: Duration = Duration::from_secs(30);
-/// Step of a level that is worth a message; four levels are a factor of two.
-const LEVEL_STEP: u8 = 4;
-/// Step of the running drafts that is worth a message.
-const RUNNING_STEP: u8 = 3;
-/// Summaries a second that are sent again although nothing changed, over all targets.
-const REFRESHED_PER_SECOND: f64 = 10.0;
-/// Shortest time between two summaries of a target in which nothing changed.
-const SHORTEST_REFRESH: Duration = Duration::from_secs(10);
+/// Time for which another host's report that a target is leaving overrides this host's list.
+const LEAVING_REPORT_LIFETIME: Duration = Duration::from_secs(30);
+/// Minimum change of a level that is gossiped; four levels are a factor of two.
+const MIN_LEVEL_CHANGE: u8 = 4;
+/// Minimum change of the number of running drafts that is gossiped.
+const MIN_RUNNING_CHANGE: u8 = 3;
+/// Rate of summaries that are gossiped without a change, over all targets, in summaries per second.
+const REFRESHES_PER_SECOND: f64 = 10.0;
+/// Minimum time between two gossiped summaries of a target without a change.
+const MIN_REFRESH_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What a summary is worth to other hosts.
+/// What a summary changes; decides whether and how it is gossiped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum News {
-    /// Nothing new.
+pub(crate) enum SummaryChange {
+    /// Nothing changed.
     None,
-    /// The load changed.
+    /// The load changed, or the refresh interval has passed.
     Load,
-    /// The target leaves, or its silence began or ended.
+    /// The target starts to leave, or its silence began or ended.
     State,
 }
 
-/// What is known about a target.
+/// State of a target as this host knows it.
 #[derive(Debug, Clone)]
 struct Target {
-    /// Entry on the list.
+    /// Its entry on the platform's list.
     listed: Arc<ListedHost>,
-    /// Whether the list no longer names it.
+    /// Whether the current list no longer contains the target.
     unlisted: bool,
-    /// Failures in a row seen by this host.
+    /// Number of consecutive failures of calls from this host.
     failures: u32,
-    /// Hysteresis for targets that fail and recover.
+    /// Flap damping.
     damping: Damping,
-    /// When another host said that it is leaving.
-    told_leaving: Option<Monotonic>,
-    /// Latest summary, and when the report behind it was read.
+    /// Time of the last report from another host that the target is leaving.
+    leaving_reported_at: Option<Monotonic>,
+    /// Latest summary, and the time at which the underlying report was read.
     summary: Option<(TargetSummary, Monotonic)>,
 }
 
-/// Liveness of all targets.
+/// State of all targets.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Targets {
     /// Targets by name.
@@ -59,8 +59,8 @@
 }
 
 impl Targets {
-    /// Takes a new list; returns the names that are kept although the list dropped them, and those that are
-    /// newly listed as leaving.
+    /// Applies a new list; returns the number of targets that are kept although the list dropped them, and
+    /// the names of those that are newly listed as leaving.
     pub(crate) fn update(&mut self, list: &[ListedHost]) -> (usize, Vec<TargetId>) {
         let listed: BTreeMap<_, _> = list
             .iter()
@@ -70,7 +70,7 @@
         let kept = self.drop_unlisted(&listed);
         let mut leaving = Vec::new();
         for (id, host) in listed {
-            if self.take_listed(&id, host) {
+            if self.update_listed(&id, host) {
                 leaving.push(id);
             }
         }
@@ -78,30 +78,35 @@
         (kept, leaving)
     }
 
-    /// Records what traffic saw; says whether the target's state may have changed.
+    /// Records the result of a call to a target; returns whether its state may have changed.
     pub(crate) fn observe(&mut self, target: &str, observation: Observation, now: Monotonic) -> bool {
         let Some(target) = self.by_id.get_mut(target) else {
             return false;
         };
         match observation {
-            Observation::Answered => target.answered(),
-            Observation::Failed => target.failed(now),
+            Observation::Answered => target.record_answer(),
+            Observation::Failed => target.record_failure(now),
         }
     }
 
-    /// Takes a summary whose report was read at `read_at`.
-    pub(crate) fn summarize(&mut self, summary: TargetSummary, read_at: Monotonic, now: Monotonic) -> News {
+    /// Records a summary whose report was read at `read_at`; returns what it changes.
+    pub(crate) fn record_summary(
+        &mut self,
+        summary: TargetSummary,
+        read_at: Monotonic,
+        now: Monotonic,
+    ) -> SummaryChange {
         let refresh = self.refresh_interval();
         let Some(Some(id)) = self.by_tag.get(&summary.target) else {
-            return News::None;
+            return SummaryChange::None;
         };
         let Some(target) = self.by_id.get_mut(id) else {
-            return News::None;
+            return SummaryChange::None;
         };
-        target.summarize(summary, read_at, now, refresh)
+        target.record_summary(summary, read_at, now, refresh)
     }
 
-    /// A summary that says that a target is leaving.
+    /// Returns a summary that marks a target as leaving.
     pub(crate) fn leaving_summary(&self, id: &str) -> Option<TargetSummary> {
         let target = self.by_id.get(id)?;
         let mut summary = match target.summary {
@@ -113,22 +118,22 @@
         Some(summary)
     }
 
-    /// Whether a wait of some target ended after `before` and not after `now`.
-    pub(crate) fn has_wait_ended(&self, before: Monotonic, now: Monotonic) -> bool {
-        self.by_id.values().any(|t| t.has_wait_ended(before, now))
+    /// Returns whether the hold time of some target ended after `previous_input` and not after `now`.
+    pub(crate) fn has_hold_ended(&self, previous_input: Monotonic, now: Monotonic) -> bool {
+        self.by_id.values().any(|t| t.has_hold_ended(previous_input, now))
     }
 
-    /// Summaries with the time at which their reports were read.
+    /// Returns the latest summaries with the times at which the underlying reports were read.
     pub(crate) fn summaries(&self) -> impl Iterator<Item = (TargetSummary, Monotonic)> {
         self.by_id.values().filter_map(|target| target.summary)
     }
 
-    /// All targets with their state.
+    /// Returns all targets with their states.
     pub(crate) fn entries(&self, now: Monotonic) -> BTreeMap<TargetId, TargetEntry> {
-        let trusted = self.distrusted_silence(now);
+        let distrusted_targets = self.distrusted_silence(now);
         self.by_id
             .iter()
-            .map(|(id, target)| (id.clone(), target.entry(trusted.contains(id), now)))
+            .map(|(id, target)| (id.clone(), target.entry(distrusted_targets.contains(id), now)))
             .collect()
     }
 
@@ -147,8 +152,9 @@
         self.by_id.values().filter(|t| t.unlisted).count()
     }
 
-    /// Stores an entry of the list; says whether the target is newly leaving.
-    fn take_listed(&mut self, id: &TargetId, host: &ListedHost) -> bool {
+    /// Applies an entry of the list; returns whether the target is newly listed as leaving. A changed address
+    /// or incarnation resets the state of the target.
+    fn update_listed(&mut self, id: &TargetId, host: &ListedHost) -> bool {
         let Some(target) = self.by_id.get_mut(id) else {
             self.by_id.insert(id.clone(), Target::new(host));
             return host.state == HostState::Leaving;
@@ -156,12 +162,12 @@
         if *target.listed == *host {
             return false;
         }
-        let was = target.listed.state;
+        let previous = target.listed.state;
         if target.listed.address != host.address || target.listed.incarnation != host.incarnation {
             *target = Target::new(host);
         }
         target.listed = Arc::new(host.clone());
-        host.state == HostState::Leaving && was != HostState::Leaving
+        host.state == HostState::Leaving && previous != HostState::Leaving
     }
 
     fn index(&mut self) {
@@ -175,12 +181,13 @@
     }
 
     fn refresh_interval(&self) -> Duration {
-        SHORTEST_REFRESH.max(Duration::from_secs_f64(
-            self.by_id.len() as f64 / REFRESHED_PER_SECOND,
+        MIN_REFRESH_INTERVAL.max(Duration::from_secs_f64(
+            self.by_id.len() as f64 / REFRESHES_PER_SECOND,
         ))
     }
 
-    /// Silent targets whose silence is not believed, because too much of a pool is silent with them.
+    /// Returns the silent targets whose silence is distrusted because too large a share of one of their pools
+    /// is silent at once.
     fn distrusted_silence(&self, now: Monotonic) -> BTreeSet<TargetId> {
         let mut counts: BTreeMap<Pool, (usize, Vec<TargetId>)> = BTreeMap::new();
         for (id, target) in &self.by_id {
@@ -207,18 +214,18 @@
             unlisted: false,
             failures: 0,
             damping: Damping::default(),
-            told_leaving: None,
+            leaving_reported_at: None,
             summary: None,
         }
     }
 
-    fn answered(&mut self) -> bool {
-        let was = self.failures;
+    fn record_answer(&mut self) -> bool {
+        let previous = self.failures;
         self.failures = 0;
-        was >= FAILURES_TO_SUSPECT
+        previous >= FAILURES_TO_SUSPECT
     }
 
-    fn failed(&mut self, now: Monotonic) -> bool {
+    fn record_failure(&mut self, now: Monotonic) -> bool {
         self.failures = self.failures.saturating_add(1);
         if self.failures < FAILURES_TO_SUSPECT || !self.damping.is_usable(now) {
             return false;
@@ -228,85 +235,108 @@
         true
     }
 
-    fn summarize(
+    fn record_summary(
         &mut self,
         summary: TargetSummary,
         read_at: Monotonic,
         now: Monotonic,
         refresh: Duration,
-    ) -> News {
+    ) -> SummaryChange {
         let was_leaving = self.is_leaving(now);
         if summary.leaving {
-            self.told_leaving = self.told_leaving.max(Some(read_at));
+            self.leaving_reported_at = self.leaving_reported_at.max(Some(read_at));
+        }
+        let starts_leaving = !was_leaving && self.is_leaving(now);
+        let load = self.record_load(summary, read_at, refresh);
+        if starts_leaving {
+            SummaryChange::State
+        } else {
+            load
         }
-        let starts_to_leave = !was_leaving && self.is_leaving(now);
-        let load = self.take_load(summary, read_at, refresh);
-        if starts_to_leave { News::State } else { load }
     }
 
-    fn take_load(&mut self, summary: TargetSummary, read_at: Monotonic, refresh: Duration) -> News {
+    fn record_load(
+        &mut self,
+        summary: TargetSummary,
+        read_at: Monotonic,
+        refresh: Duration,
+    ) -> SummaryChange {
         let Some((known, known_at)) = self.summary else {
             self.summary = Some((summary, read_at));
-            return if summary.silent { News::State } else { News::Load };
+            return if summary.silent {
+                SummaryChange::State
+            } else {
+                SummaryChange::Load
+            };
         };
-        let is_due = read_at >= known_at + refresh || summary.differs(&known);
+        let is_due = read_at >= known_at + refresh || summary.differs_significantly(&known);
         let changed = known.silent != summary.silent;
         if read_at <= known_at || !(is_due || changed) {
-            return News::None;
+            return SummaryChange::None;
         }
         self.summary = Some((summary, read_at));
-        if changed { News::State } else { News::Load }
+        if changed {
+            SummaryChange::State
+        } else {
+            SummaryChange::Load
+        }
     }
 
-    /// Whether the list or another host's list says that the target is leaving.
+    /// Returns whether the list, or a recent report of another host, says that the target is leaving.
     fn is_leaving(&self, now: Monotonic) -> bool {
         self.listed.state == HostState::Leaving
-            || self.told_leaving.is_some_and(|at| now < at + TOLD_LEAVING_FOR)
+            || self
+                .leaving_reported_at
+                .is_some_and(|at| now < at + LEAVING_REPORT_LIFETIME)
     }
 
-    fn has_wait_ended(&self, before: Monotonic, now: Monotonic) -> bool {
-        self.damping.is_usable(now) && !self.damping.is_usable(before)
+    fn has_hold_ended(&self, previous_input: Monotonic, now: Monotonic) -> bool {
+        self.damping.is_usable(now) && !self.damping.is_usable(previous_input)
     }
 
-    fn silence(&self, now: Monotonic) -> Option<Why> {
+    fn silence(&self, now: Monotonic) -> Option<LivenessReason> {
         if !self.damping.is_usable(now) {
             let failing = self.failures >= FAILURES_TO_SUSPECT;
-            return Some(if failing { Why::Silent } else { Why::Flapping });
+            return Some(if failing {
+                LivenessReason::Silent
+            } else {
+                LivenessReason::Flapping
+            });
         }
         match self.summary {
-            Some((summary, _)) if summary.silent => Some(Why::SilentToWatchers),
+            Some((summary, _)) if summary.silent => Some(LivenessReason::SilentToWatchers),
             _ => None,
         }
     }
 
     fn entry(&self, silence_distrusted: bool, now: Monotonic) -> TargetEntry {
-        let (liveness, why) = self.state(silence_distrusted, now);
+        let (liveness, reason) = self.state(silence_distrusted, now);
         TargetEntry {
             listed: self.listed.clone(),
             liveness,
-            why,
+            reason,
             summary: self.summary,
         }
     }
 
-    fn state(&self, silence_distrusted: bool, now: Monotonic) -> (TargetLiveness, Why) {
+    fn state(&self, silence_distrusted: bool, now: Monotonic) -> (TargetLiveness, LivenessReason) {
         if self.listed.state == HostState::Leaving {
-            return (TargetLiveness::Leaving, Why::Listed);
+            return (TargetLiveness::Leaving, LivenessReason::Listed);
         }
         if self.is_leaving(now) {
-            return (TargetLiveness::Leaving, Why::ToldLeaving);
+            return (TargetLiveness::Leaving, LivenessReason::LeavingReported);
         }
         match self.silence(now) {
-            Some(_) if silence_distrusted => (TargetLiveness::Live, Why::SilenceDistrusted),
-            Some(why) => (TargetLiveness::Suspect, why),
-            None if self.unlisted => (TargetLiveness::Live, Why::ListDistrusted),
-            None => (TargetLiveness::Live, Why::Listed),
+            Some(_) if silence_distrusted => (TargetLiveness::Live, LivenessReason::SilenceDistrusted),
+            Some(reason) => (TargetLiveness::Suspect, reason),
+            None if self.unlisted => (TargetLiveness::Live, LivenessReason::ListDistrusted),
+            None => (TargetLiveness::Live, LivenessReason::Listed),
         }
     }
 }
 
 impl TargetSummary {
-    /// A summary without load.
+    /// Creates a summary of a target without load.
     ///
     /// ```
     /// use membership::{TargetSummary, TargetTag};
@@ -325,9 +355,9 @@
         }
     }
 
-    fn differs(&self, other: &Self) -> bool {
-        self.queued.abs_diff(other.queued) >= LEVEL_STEP
-            || self.sent.abs_diff(other.sent) >= LEVEL_STEP
-            || self.running.abs_diff(other.running) >= RUNNING_STEP.max(other.running / 4)
+    fn differs_significantly(&self, other: &Self) -> bool {
+        self.queued.abs_diff(other.queued) >= MIN_LEVEL_CHANGE
+            || self.sent.abs_diff(other.sent) >= MIN_LEVEL_CHANGE
+            || self.running.abs_diff(other.running) >= MIN_RUNNING_CHANGE.max(other.running / 4)
     }
 }
--- a/components/membership/src/view.rs
+++ b/components/membership/src/view.rs
@@ -6,61 +6,62 @@
 
 use crate::TargetSummary;
 
-/// Whether a target takes new work.
+/// Whether a target accepts new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum TargetLiveness {
-    /// Takes new work.
+    /// Accepts new work.
     Live,
-    /// Finishes what it has.
+    /// Accepts no new work and finishes the work in progress.
     Leaving,
-    /// Did not answer lately.
+    /// Failed to answer this host or its watchers recently.
     Suspect,
 }
 
-/// The evidence behind a target's or host's state.
+/// The reason for the state of a target or host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Why {
-    /// The platform's list says so.
+pub enum LivenessReason {
+    /// The platform's list gives this state.
     Listed,
-    /// The list dropped too much of its pool at once to be believed.
+    /// The list no longer contains it, but dropped too large a share of its pool at once; the removal is
+    /// distrusted.
     ListDistrusted,
-    /// It is not on the list but answers.
+    /// It is not on the list but answers this host.
     Answers,
-    /// It failed to answer this host.
+    /// It repeatedly failed to answer this host.
     Silent,
-    /// It failed to answer its watchers.
+    /// A watcher reports that it failed to answer.
     SilentToWatchers,
-    /// Too much of its pool is silent at once to be believed.
+    /// It does not answer, but neither does a large share of its pool; the silence is distrusted.
     SilenceDistrusted,
-    /// It failed often lately and is on probation.
+    /// It answers again after recent failures, but its hold time has not passed.
     Flapping,
-    /// Another host read on the list that it is leaving.
-    ToldLeaving,
+    /// Another host reported that the list shows it as leaving.
+    LeavingReported,
 }
 
 /// A live entry host.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HostEntry {
-    /// What the platform says about it.
+    /// Its entry on the platform's list.
     pub listed: Arc<ListedHost>,
-    /// Last known incarnation; 0 before it was heard.
+    /// Last known incarnation; 0 before its first message.
     pub incarnation: Incarnation,
-    /// Whether it is leaving.
+    /// Whether the host is leaving.
     pub leaving: bool,
-    /// The evidence.
-    pub why: Why,
+    /// The reason for this state.
+    pub reason: LivenessReason,
 }
 
 /// A target with its state.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TargetEntry {
-    /// What the platform says about it.
+    /// Its entry on the platform's list.
     pub listed: Arc<ListedHost>,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub liveness: TargetLiveness,
-    /// The evidence.
-    pub why: Why,
-    /// Latest summary of its load and when the report behind it was read.
+    /// The reason for this state.
+    pub reason: LivenessReason,
+    /// Latest summary of its load, and the time at which the underlying report was read.
     pub summary: Option<(TargetSummary, Monotonic)>,
 }
 
@@ -73,30 +74,32 @@
     pub region: RegionId,
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// When the answered probe was sent.
+    /// Time at which the latest answered probe was sent.
     pub at: Monotonic,
 }
 
-/// The hosts and targets that one host knows, as of one moment.
+/// A snapshot of the hosts and targets that one host knows.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct MembershipView {
-    /// When the view was built.
+    /// Time at which the view was built.
     pub taken_at: Monotonic,
-    /// False from a pause of the process until another host was heard again.
+    /// Whether the view is up to date: false from a pause of the process until another host answers a probe
+    /// sent after it.
     pub current: bool,
-    /// True while too many neighbours are silent at once: this host is probably the one cut off.
+    /// Whether at least two and more than half of the neighbours in the region are silent at once. This host
+    /// is then probably the one that is partitioned from the others.
     pub isolated: bool,
     /// Live and leaving entry hosts by region, this host included.
     pub hosts: BTreeMap<RegionId, Vec<HostEntry>>,
     /// Targets by name.
     pub targets: BTreeMap<TargetId, TargetEntry>,
-    /// Neighbours that answered, with the time of the probe.
+    /// Hosts that have answered a probe of this host.
     pub reachable: Vec<ReachableHost>,
 }
 
 impl MembershipView {
-    /// Hosts of a region that answered a probe sent at `since` or later. Check it right before acting:
-    /// a host that was paused finds that its answers are too old.
+    /// Counts the hosts of a region that answered a probe sent at `since` or later. Must be checked right
+    /// before an action that depends on it: after a pause of this process the answers are too old to count.
     ///
     /// ```
     /// use std::time::Duration;
@@ -111,7 +114,7 @@
             .count()
     }
 
-    /// Names of the live hosts of a region that are not leaving.
+    /// Returns the names of the live hosts of a region that are not leaving.
     pub fn host_names(&self, region: &str) -> Vec<HostId> {
         let entries = self.hosts.get(region).map(Vec::as_slice).unwrap_or_default();
         let staying = entries.iter().filter(|entry| !entry.leaving);
--- a/components/membership/tests/ownership.rs
+++ b/components/membership/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! Owners by rendezvous hashing, and what it costs to keep them.
+//! Assignment of owners by rendezvous hashing, and the cost of its updates.
 
 use std::collections::BTreeSet;
 
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_host_that_goes_moves_only_its_own_keys() {
+fn removed_host_moves_only_its_own_keys() {
     let mut owners = owners(9, 200);
     let before: Vec<_> = (0..200).map(|i| set(&owners, i)).collect();
     owners.set_hosts(hosts(8));
@@ -46,21 +46,21 @@
 }
 
 #[test]
-fn one_host_more_or_less_costs_few_scores() {
+fn adding_or_removing_a_host_computes_few_scores() {
     let mut owners = owners(340, 3_000);
-    let built = owners.scored();
+    let built = owners.scores_computed();
     assert_eq!(built, 340 * 3_000);
     owners.set_hosts(hosts(341));
-    let joined = owners.scored() - built;
+    let joined = owners.scores_computed() - built;
     assert_eq!(joined, 3_000);
     owners.set_hosts(hosts(340));
-    let left = owners.scored() - built - joined;
+    let left = owners.scores_computed() - built - joined;
     let expected = 340 * 3_000 * 2 / 341;
     assert!(left <= 2 * expected, "{left} scores, about {expected} expected");
 }
 
 #[test]
-fn work_is_spread_evenly() {
+fn keys_are_spread_evenly() {
     let owners = owners(9, 900);
     for host in hosts(9) {
         let count = owners.owned_by(&host).count();
--- a/components/membership/tests/rollout.rs
+++ b/components/membership/tests/rollout.rs
@@ -1,19 +1,19 @@
-//! Weight versions brought to targets a few at a time, through the lease's row.
+//! Rollout of weight versions to targets, a few at a time, coordinated through the lease's row.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
 
 use membership::{
-    Identity, Installed, LeaseEffect, LeaseInput, LeaseRow, LeaseRules, MembershipView, ORDERS_KEY,
-    OrderLease, Rollout, TargetEntry, TargetLiveness, Wanted, Why, WriteOutcome,
+    DesiredVersions, Identity, Installed, LeaseEffect, LeaseInput, LeaseRow, LeaseRules, LivenessReason,
+    MembershipView, ORDERS_KEY, OrderLease, Rollout, TargetEntry, TargetLiveness, WriteOutcome,
 };
 use metadata::{HostRole, HostState, ListedHost, MemoryTable};
 use targets::OrderKind;
 use utils::{Monotonic, TargetId, WeightVersion};
 
 const STEP: Duration = Duration::from_millis(250);
-/// Steps that a load takes.
+/// Number of steps that a load takes.
 const LOAD_STEPS: u32 = 3;
 
 fn entry(id: &str) -> TargetEntry {
@@ -32,19 +32,19 @@
     TargetEntry {
         listed: Arc::new(listed),
         liveness: TargetLiveness::Live,
-        why: Why::Listed,
+        reason: LivenessReason::Listed,
         summary: None,
     }
 }
 
-struct Bench {
+struct Simulation {
     now: Monotonic,
     table: MemoryTable,
     view: MembershipView,
-    wanted: Wanted,
+    desired: DesiredVersions,
     versions: BTreeMap<TargetId, WeightVersion>,
     loading: BTreeMap<TargetId, (WeightVersion, u32)>,
-    most_loading: usize,
+    peak_loading: usize,
     epochs: BTreeSet<u64>,
 }
 
@@ -65,7 +65,7 @@
     }
 }
 
-impl Bench {
+impl Simulation {
     fn new(targets: usize) -> Self {
         let names = (0..targets).map(|i| TargetId::from(format!("engine-{i:02}")));
         let versions: BTreeMap<_, _> = names.map(|id| (id, 1)).collect();
@@ -77,17 +77,17 @@
                 targets: entries,
                 ..MembershipView::default()
             },
-            wanted: Wanted::from([("draft".into(), 2)]),
+            desired: DesiredVersions::from([("draft".into(), 2)]),
             versions,
             loading: BTreeMap::new(),
-            most_loading: 0,
+            peak_loading: 0,
             epochs: BTreeSet::new(),
         }
     }
 
     fn step(&mut self, host: &mut Host) {
         self.now += STEP;
-        self.load();
+        self.advance_loads();
         for (id, version) in &self.versions {
             let installed = Installed {
                 versions: vec![("draft".into(), *version)],
@@ -101,11 +101,11 @@
         let free = host.lease.free_slots();
         for slot in host
             .rollout
-            .next_loads(&self.view, &self.wanted, host.lease.loads(), free)
+            .next_loads(&self.view, &self.desired, host.lease.loads(), free)
         {
             host.lease.step(LeaseInput::Start(slot), self.now);
         }
-        self.call(host);
+        self.step_lease(host);
         let loads = host.lease.loads().to_vec();
         let due: Vec<_> = host.rollout.due(&loads, self.now).cloned().collect();
         for slot in due {
@@ -121,10 +121,10 @@
                 self.loading.entry(slot.target).or_insert((version, LOAD_STEPS));
             }
         }
-        self.most_loading = self.most_loading.max(self.loading.len());
+        self.peak_loading = self.peak_loading.max(self.loading.len());
     }
 
-    fn load(&mut self) {
+    fn advance_loads(&mut self) {
         for (id, (version, left)) in &mut self.loading {
             *left -= 1;
             if *left == 0 {
@@ -134,7 +134,7 @@
         self.loading.retain(|_, (_, left)| *left > 0);
     }
 
-    fn call(&mut self, host: &mut Host) {
+    fn step_lease(&mut self, host: &mut Host) {
         let input = match host.lease.step(LeaseInput::Tick { wanted: true }, self.now) {
             None => return,
             Some(LeaseEffect::Read) => {
@@ -156,42 +156,42 @@
     fn is_done(&self) -> bool {
         self.versions
             .values()
-            .all(|v| Some(v) == self.wanted.get("draft"))
+            .all(|v| Some(v) == self.desired.get("draft"))
     }
 }
 
 #[test]
-fn every_target_gets_the_version_two_at_a_time() {
-    let mut bench = Bench::new(12);
+fn every_target_loads_the_version_two_at_a_time() {
+    let mut sim = Simulation::new(12);
     let mut host = host("entry-1");
     let steps = (0..400).take_while(|_| {
-        bench.step(&mut host);
-        !bench.is_done()
+        sim.step(&mut host);
+        !sim.is_done()
     });
     assert!(steps.count() < 200);
-    assert_eq!(bench.most_loading, 2);
-    assert_eq!(host.rollout.behind(&bench.view, &bench.wanted), 0);
+    assert_eq!(sim.peak_loading, 2);
+    assert_eq!(host.rollout.outdated_count(&sim.view, &sim.desired), 0);
 }
 
 #[test]
 fn small_pool_keeps_most_targets_serving() {
-    let mut bench = Bench::new(3);
+    let mut sim = Simulation::new(3);
     let mut host = host("entry-1");
-    (0..400).for_each(|_| bench.step(&mut host));
-    assert!(bench.is_done());
-    assert_eq!(bench.most_loading, 1);
+    (0..400).for_each(|_| sim.step(&mut host));
+    assert!(sim.is_done());
+    assert_eq!(sim.peak_loading, 1);
 }
 
 #[test]
-fn new_holder_goes_on_with_the_loads_of_the_old_one() {
-    let mut bench = Bench::new(12);
+fn new_holder_continues_the_loads_of_the_previous_one() {
+    let mut sim = Simulation::new(12);
     let mut first = host("entry-1");
-    (0..12).for_each(|_| bench.step(&mut first));
-    assert!(!bench.is_done());
+    (0..12).for_each(|_| sim.step(&mut first));
+    assert!(!sim.is_done());
     drop(first);
     let mut second = host("entry-2");
-    (0..600).for_each(|_| bench.step(&mut second));
-    assert!(bench.is_done());
-    assert_eq!(bench.most_loading, 2);
-    assert_eq!(bench.epochs, BTreeSet::from([1, 2]));
+    (0..600).for_each(|_| sim.step(&mut second));
+    assert!(sim.is_done());
+    assert_eq!(sim.peak_loading, 2);
+    assert_eq!(sim.epochs, BTreeSet::from([1, 2]));
 }
--- a/components/membership/tests/support/mod.rs
+++ b/components/membership/tests/support/mod.rs
@@ -26,15 +26,15 @@
     }
 }
 
-/// Hosts in virtual time; heartbeats arrive one step after they were sent.
+/// Simulated hosts in virtual time. A heartbeat arrives one step after it was sent.
 pub(crate) struct Cluster {
     pub(crate) now: Monotonic,
     pub(crate) list: Vec<ListedHost>,
     pub(crate) hosts: BTreeMap<HostId, Membership>,
     pub(crate) paused: Vec<HostId>,
-    pub(crate) cut: Vec<(HostId, HostId)>,
+    pub(crate) blocked_links: Vec<(HostId, HostId)>,
     pub(crate) events: Vec<(HostId, MembershipEvent)>,
-    waiting: Vec<(HostId, Input)>,
+    in_flight: Vec<(HostId, Input)>,
 }
 
 impl Cluster {
@@ -51,9 +51,9 @@
             list: list.clone(),
             hosts: BTreeMap::new(),
             paused: Vec::new(),
-            cut: Vec::new(),
+            blocked_links: Vec::new(),
             events: Vec::new(),
-            waiting: Vec::new(),
+            in_flight: Vec::new(),
         };
         for (seed, host) in list.iter().filter(|h| h.role == HostRole::Entry).enumerate() {
             cluster.start(&host.id, &host.region, 1, seed as u64);
@@ -68,21 +68,23 @@
             incarnation,
         };
         self.hosts.insert(id.into(), Membership::new(own, seed, self.now));
-        self.give(id, Input::List(self.list.clone()));
+        self.deliver(id, Input::List(self.list.clone()));
     }
 
-    pub(crate) fn give(&mut self, id: &str, input: Input) {
+    pub(crate) fn deliver(&mut self, id: &str, input: Input) {
         let host: HostId = id.into();
         let Some(membership) = self.hosts.get_mut(id) else {
             return;
         };
         for effect in membership.step(input, self.now) {
             match effect {
-                Effect::Send { to, heartbeat } if !self.cut.contains(&(host.clone(), to.clone())) => {
+                Effect::Send { to, heartbeat }
+                    if !self.blocked_links.contains(&(host.clone(), to.clone())) =>
+                {
                     let from = host.clone();
                     let bytes = heartbeat.encode().expect("heartbeat fits");
                     let heartbeat = membership::Heartbeat::decode(&bytes).expect("heartbeat reads");
-                    self.waiting.push((to, Input::Received { from, heartbeat }));
+                    self.in_flight.push((to, Input::Received { from, heartbeat }));
                 }
                 Effect::Log(event) => self.events.push((host.clone(), event)),
                 _ => {}
@@ -90,24 +92,24 @@
         }
     }
 
-    pub(crate) fn give_list(&mut self) {
+    pub(crate) fn deliver_list(&mut self) {
         let ids: Vec<_> = self.hosts.keys().cloned().collect();
         for id in ids {
-            self.give(&id, Input::List(self.list.clone()));
+            self.deliver(&id, Input::List(self.list.clone()));
         }
     }
 
-    /// Lets time pass. Heartbeats for paused hosts wait in their buffers.
+    /// Advances the virtual time. Heartbeats to paused hosts are buffered until the hosts resume.
     pub(crate) fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.now += STEP;
-            let (held, due): (Vec<_>, Vec<_>) = std::mem::take(&mut self.waiting)
+            let (buffered, due): (Vec<_>, Vec<_>) = std::mem::take(&mut self.in_flight)
                 .into_iter()
                 .partition(|(to, _)| self.paused.contains(to));
-            self.waiting = held;
+            self.in_flight = buffered;
             for (to, input) in due {
-                self.give(&to, input);
+                self.deliver(&to, input);
             }
             let ids: Vec<_> = self.hosts.keys().cloned().collect();
             for id in ids
@@ -116,7 +118,7 @@
                 .cloned()
                 .collect::<Vec<_>>()
             {
-                self.give(&id, Input::Tick);
+                self.deliver(&id, Input::Tick);
             }
         }
     }
@@ -129,11 +131,11 @@
         self.view(id).targets.get(target).map(|t| t.liveness)
     }
 
-    pub(crate) fn cut_between(&mut self, left: &[&str], right: &[&str]) {
+    pub(crate) fn block_links(&mut self, left: &[&str], right: &[&str]) {
         for l in left {
             for r in right {
-                self.cut.push(((*l).into(), (*r).into()));
-                self.cut.push(((*r).into(), (*l).into()));
+                self.blocked_links.push(((*l).into(), (*r).into()));
+                self.blocked_links.push(((*r).into(), (*l).into()));
             }
         }
     }
--- a/components/membership/tests/traffic.rs
+++ b/components/membership/tests/traffic.rs
@@ -1,14 +1,14 @@
-//! Control traffic in virtual time, against the stated bound.
+//! Control traffic in virtual time, compared with its bound.
 
 use std::time::Duration;
 
 use membership::{MeasureOptions, Membership, measure};
 use utils::ManualClock;
 
-/// Control traffic of a host in both directions, in bytes a second.
-const MOST_BYTES_PER_SECOND: f64 = 3_000.0;
+/// Maximum control traffic of a host in both directions, in bytes per second.
+const MAX_BYTES_PER_SECOND: f64 = 3_000.0;
 
-fn run(hosts: usize, targets: usize) -> membership::Measure {
+fn run(hosts: usize, targets: usize) -> membership::Measurement {
     let options = MeasureOptions {
         hosts,
         targets,
@@ -19,23 +19,23 @@
 }
 
 #[test]
-fn traffic_keeps_to_its_bound_with_few_and_many_hosts() {
+fn traffic_stays_within_its_bound_with_few_and_many_hosts() {
     for (hosts, targets) in [(9, 23), (30, 200)] {
         let measure = run(hosts, targets);
         assert!(
-            measure.bytes_per_second() <= MOST_BYTES_PER_SECOND,
+            measure.bytes_per_second() <= MAX_BYTES_PER_SECOND,
             "{hosts}: {measure:?}"
         );
         assert!(
-            measure.busiest_per_second <= MOST_BYTES_PER_SECOND,
+            measure.busiest_per_second <= MAX_BYTES_PER_SECOND,
             "{hosts}: {measure:?}"
         );
-        assert_eq!(measure.leaving_learned, hosts);
+        assert_eq!(measure.leaving_observers, hosts);
         assert!(
             measure.leaving_last <= Duration::from_secs(3),
             "{hosts}: {measure:?}"
         );
-        assert_eq!(measure.dead_learned, hosts - 1);
+        assert_eq!(measure.dead_observers, hosts - 1);
     }
 }
 
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn membership_can_be_cloned_and_steps_alike() {
+fn cloned_membership_returns_the_same_effects() {
     let identity = membership::Identity {
         id: "entry-0".into(),
         region: "north".into(),
