--- a/components/charts/src/chart.rs
+++ b/components/charts/src/chart.rs
@@ -7,42 +7,42 @@
 use crate::check::check;
 use crate::spec::ChartSpec;
 
-/// Key of a state in its chart.
+/// Index of a state in its chart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct StateKey(u16);
 
-/// Key of an event in its chart.
+/// Index of an event in its chart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct EventKey(u16);
 
 /// A state of a chart.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct State {
-    /// Name in the file.
+    /// Name in the chart's file.
     pub name: String,
-    /// What a caller may be told in this state.
+    /// Outcome that is reported to the caller in this state.
     pub outcome: Outcome,
-    /// Whether nothing follows.
+    /// Whether the state is final.
     pub is_end: bool,
-    /// Next state by event.
+    /// Next state, indexed by event; `None` if the event is not allowed.
     next: Vec<Option<StateKey>>,
 }
 
 /// A checked state chart.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Chart {
-    /// Name in the file.
+    /// Name in the chart's file.
     name: String,
-    /// State of a new machine.
+    /// Initial state of a machine.
     initial: StateKey,
-    /// States, ordered by name.
+    /// States in the order of their names.
     states: Vec<State>,
-    /// Names of events, ordered.
+    /// Names of the events, sorted.
     events: Vec<String>,
 }
 
 impl Chart {
-    /// Reads and checks a chart.
+    /// Parses and checks a chart.
     ///
     /// ```
     /// let text = "
@@ -58,8 +58,9 @@
     /// ```
     ///
     /// # Errors
-    /// [`ChartError`] if the text is not a chart, a state is unknown, can't be reached or has no way to an end, or a
-    /// state says `not-run` after the request may have been sent.
+    /// [`ChartError`] if the text is not a chart or the chart fails a check, for example has an unknown or
+    /// unreachable state, a state without a path to a final state, or a state with outcome `not-run` after
+    /// the request may have been sent.
     pub fn parse(text: &str) -> Result<Self, Report<ChartError>> {
         let spec: ChartSpec = serde_saphyr::from_str(text).map_err(|e| {
             let problem = e.to_string();
@@ -104,20 +105,20 @@
         })
     }
 
-    /// Name of the chart.
+    /// Returns the name of the chart.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// State of a new machine.
+    /// Initial state of a machine.
     pub fn initial(&self) -> StateKey {
         self.initial
     }
 
-    /// Key of the event with this name.
+    /// Returns the key of the event with this name.
     ///
     /// # Errors
-    /// [`ChartError::UnknownEvent`]
+    /// [`ChartError::UnknownEvent`] if the chart has no such event.
     pub fn event(&self, name: &str) -> Result<EventKey, Report<ChartError>> {
         match self.events.binary_search_by(|e| e.as_str().cmp(name)) {
             Ok(i) => Ok(EventKey(i as u16)),
@@ -127,20 +128,20 @@
         }
     }
 
-    /// The state with this key.
+    /// Returns the state with this key.
     ///
     /// # Panics
-    /// If the key is of a larger chart.
+    /// If the key belongs to a chart with more states.
     pub fn state(&self, key: StateKey) -> &State {
         &self.states[usize::from(key.0)]
     }
 
-    /// The state after an event, if the chart allows it.
+    /// Returns the state after an event, or `None` if the event is not allowed in this state.
     pub fn next(&self, from: StateKey, event: EventKey) -> Option<StateKey> {
         self.state(from).next.get(usize::from(event.0)).copied().flatten()
     }
 
-    /// Name of an event.
+    /// Returns the name of an event.
     pub(crate) fn event_name(&self, key: EventKey) -> &str {
         self.events.get(usize::from(key.0)).map_or("", String::as_str)
     }
--- a/components/charts/src/check.rs
+++ b/components/charts/src/check.rs
@@ -6,10 +6,10 @@
 use crate::ChartError;
 use crate::spec::{ChartSpec, StateSpec};
 
-/// Names of states.
+/// A set of names of states.
 type Names<'a> = BTreeSet<&'a str>;
 
-/// Finds the first fault of a chart.
+/// Checks a chart; returns the first error found.
 pub(crate) fn check(spec: &ChartSpec) -> Result<(), Report<ChartError>> {
     check_names(spec)?;
     check_events(spec)?;
@@ -19,11 +19,11 @@
 }
 
 fn check_names(spec: &ChartSpec) -> Result<(), Report<ChartError>> {
-    let targets = spec
+    let successors = spec
         .states
         .values()
         .flat_map(|s| s.transitions().map(|(_, to)| to));
-    for name in targets.chain([&spec.initial]).chain(&spec.sent) {
+    for name in successors.chain([&spec.initial]).chain(&spec.sent) {
         if !spec.states.contains_key(name) {
             return Err(Report::new(ChartError::UnknownState { state: name.clone() }));
         }
@@ -44,7 +44,7 @@
 }
 
 fn check_reachable(spec: &ChartSpec) -> Result<(), Report<ChartError>> {
-    let reached = reach(spec, &spec.initial, all_targets);
+    let reached = reach(spec, &spec.initial, all_successors);
     match spec.states.keys().find(|name| !reached.contains(name.as_str())) {
         Some(name) => Err(Report::new(ChartError::Unreachable { state: name.clone() })),
         None => Ok(()),
@@ -57,7 +57,7 @@
         if state.end && state.transitions().next().is_some() {
             return Err(Report::new(ChartError::EndWithTransition { state: state_name }));
         }
-        let reached = reach(spec, name, all_targets);
+        let reached = reach(spec, name, all_successors);
         if !reached.iter().any(|to| spec.states[*to].end) {
             return Err(Report::new(ChartError::Endless { state: state_name }));
         }
@@ -65,12 +65,14 @@
     Ok(())
 }
 
-/// After the request may have been sent, only the target's proof leads back to `not-run`, and only for the first try.
+/// Checks that, once the request may have been sent, the outcome `not-run` is reached only through a
+/// transition by which the target proves that it did not run the request, and only before a retry: a later
+/// proof does not cover earlier attempts.
 fn check_outcomes(spec: &ChartSpec) -> Result<(), Report<ChartError>> {
     let Some(sent) = &spec.sent else {
         return Ok(());
     };
-    for name in reach(spec, sent, unproved_targets) {
+    for name in reach(spec, sent, unproved_successors) {
         let state = &spec.states[name];
         if state.outcome == Outcome::NotRun {
             return Err(Report::new(ChartError::FalseNotRun {
@@ -81,7 +83,7 @@
             .proved
             .values()
             .any(|to| spec.states[to].outcome == Outcome::NotRun);
-        let returns = unproved_targets(state).any(|to| to == sent);
+        let returns = unproved_successors(state).any(|to| to == sent);
         if (proves && name != sent) || returns {
             return Err(Report::new(ChartError::UnsoundProof {
                 state: name.to_owned(),
@@ -91,26 +93,26 @@
     Ok(())
 }
 
-fn all_targets(state: &StateSpec) -> Box<dyn Iterator<Item = &String> + '_> {
+fn all_successors(state: &StateSpec) -> Box<dyn Iterator<Item = &String> + '_> {
     Box::new(state.transitions().map(|(_, to)| to))
 }
 
-fn unproved_targets(state: &StateSpec) -> Box<dyn Iterator<Item = &String> + '_> {
+fn unproved_successors(state: &StateSpec) -> Box<dyn Iterator<Item = &String> + '_> {
     Box::new(state.on.values())
 }
 
-/// States on paths from `start`, itself included.
+/// Returns the states that are reachable from `start` through `successors`, including `start`.
 fn reach<'a>(
     spec: &'a ChartSpec,
     start: &'a str,
-    targets: impl Fn(&'a StateSpec) -> Box<dyn Iterator<Item = &'a String> + 'a>,
+    successors: impl Fn(&'a StateSpec) -> Box<dyn Iterator<Item = &'a String> + 'a>,
 ) -> Names<'a> {
     let mut reached = Names::from([start]);
-    let mut open = vec![start];
-    while let Some(name) = open.pop() {
-        for to in targets(&spec.states[name]) {
+    let mut pending = vec![start];
+    while let Some(name) = pending.pop() {
+        for to in successors(&spec.states[name]) {
             if reached.insert(to) {
-                open.push(to);
+                pending.push(to);
             }
         }
     }
--- a/components/charts/src/claim.rs
+++ b/components/charts/src/claim.rs
@@ -4,7 +4,7 @@
 
 use crate::{Chart, ChartError, EventKey, Machine};
 
-/// The chart of one try at a call that must not be repeated, with the keys of its events.
+/// The state chart of one attempt at an at-most-once call, with the keys of its events.
 ///
 /// ```
 /// let chart = charts::ClaimChart::load()?;
@@ -15,55 +15,55 @@
 pub struct ClaimChart {
     /// The chart.
     chart: Arc<Chart>,
-    /// The claim is about to be inserted.
+    /// The insert of the claim is about to be sent.
     pub insert: EventKey,
-    /// The claim's insert took effect.
+    /// The insert of the claim took effect.
     pub insert_applied: EventKey,
-    /// The answer of the insert is lost.
+    /// The answer to the insert was lost.
     pub answer_lost: EventKey,
-    /// The row is this try's own claim.
+    /// The row holds the claim of this attempt.
     pub find_own: EventKey,
-    /// There is no row for the key.
+    /// No row exists for the key.
     pub absent: EventKey,
     /// The row holds a result.
     pub find_settled: EventKey,
-    /// The row says that the result is not known.
+    /// The row records that the result is unknown.
     pub find_unknown: EventKey,
-    /// A living host holds the claim.
+    /// The claim belongs to a live host.
     pub find_living: EventKey,
-    /// A dead host holds the claim.
+    /// The claim belongs to a dead host.
     pub find_dead: EventKey,
-    /// The key was used with another body.
+    /// The key was used with a different body.
     pub find_other_body: EventKey,
-    /// The row was given up before anything was sent.
+    /// The claim in the row was abandoned before anything was sent.
     pub find_abandoned: EventKey,
-    /// The table service is out of reach.
+    /// The table service is unavailable.
     pub store_failed: EventKey,
     /// The deadline of the claim has passed.
     pub lapse: EventKey,
-    /// The caller is gone or no target can be used.
+    /// The caller disconnected, or no target is available.
     pub give_up: EventKey,
-    /// The first byte is about to be sent.
+    /// The first byte of the request is about to be sent.
     pub dispatch: EventKey,
-    /// The whole answer came.
+    /// The complete answer arrived.
     pub answer: EventKey,
-    /// What the target did can not be found out.
+    /// The result of the request at the target is unknown.
     pub lose: EventKey,
-    /// The target shows that it did not run the request, and no other is tried.
+    /// The target proved that it did not run the request, and no other target is tried.
     pub refuse_by_target: EventKey,
-    /// The target says that the call ran.
+    /// The target reports that the call ran.
     pub find_ran: EventKey,
-    /// Another try is under way, or its result is not known.
+    /// Another attempt is in progress, or its result is unknown.
     pub find_open: EventKey,
-    /// The request is turned away before anything was sent.
+    /// The request is refused before anything was sent.
     pub refuse: EventKey,
 }
 
 impl ClaimChart {
-    /// Reads the chart that is part of the program.
+    /// Parses the chart that is compiled into the program.
     ///
     /// # Errors
-    /// As [`Chart::parse`].
+    /// As for [`Chart::parse`].
     pub fn load() -> Result<Self, Report<ChartError>> {
         let chart = Arc::new(Chart::parse(include_str!("../charts/claim.yaml"))?);
         Ok(Self {
@@ -97,7 +97,7 @@
         &self.chart
     }
 
-    /// A machine in the initial state.
+    /// Creates a machine in the initial state.
     pub fn machine(&self) -> Machine {
         Machine::new(Arc::clone(&self.chart))
     }
--- a/components/charts/src/error.rs
+++ b/components/charts/src/error.rs
@@ -1,69 +1,69 @@
-/// Why a chart is refused, or an event in a state.
+/// Errors of parsing and checking a chart, and of firing an event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum ChartError {
     /// The text is not a chart.
     #[error("the chart can not be read: {problem}")]
     Syntax {
-        /// What the parser found.
+        /// Message of the parser.
         problem: String,
     },
-    /// A state is named that the chart does not have.
+    /// The chart refers to a state that it does not define.
     #[error("there is no state {state}")]
     UnknownState {
-        /// The name.
+        /// Its name.
         state: String,
     },
-    /// An event is named that the chart does not have.
+    /// The chart has no event with this name.
     #[error("there is no event {event}")]
     UnknownEvent {
-        /// The name.
+        /// Its name.
         event: String,
     },
-    /// No path leads from the initial state to a state.
+    /// A state is not reachable from the initial state.
     #[error("state {state} can not be reached")]
     Unreachable {
-        /// The state.
+        /// Name of the state.
         state: String,
     },
-    /// No path leads from a state to an end.
+    /// No path leads from a state to a final state.
     #[error("state {state} has no way to an end")]
     Endless {
-        /// The state.
+        /// Name of the state.
         state: String,
     },
-    /// An end has a transition.
+    /// A final state has a transition.
     #[error("state {state} is an end and has a transition")]
     EndWithTransition {
-        /// The state.
+        /// Name of the state.
         state: String,
     },
-    /// A state says `not-run` although the request may have been sent.
+    /// A state has the outcome `not-run` although the request may have been sent.
     #[error("state {state} says not-run after the request may have been sent")]
     FalseNotRun {
-        /// The state.
+        /// Name of the state.
         state: String,
     },
-    /// A proof that a target did not run the request leads out of a state where an earlier try may have run.
+    /// A transition proves `not-run` in a state in which an earlier attempt may have run.
     #[error("state {state} can not prove not-run for earlier tries")]
     UnsoundProof {
-        /// The state.
+        /// Name of the state.
         state: String,
     },
-    /// A state has one event twice.
+    /// A state has two transitions for one event.
     #[error("state {state} has two transitions for {event}")]
     Ambiguous {
-        /// The state.
+        /// Name of the state.
         state: String,
-        /// The event.
+        /// Name of the event.
         event: String,
     },
     /// The state has no transition for the event.
     #[error("event {event} is not allowed in state {state}")]
     NotAllowed {
-        /// The state.
+        /// Name of the state.
         state: String,
-        /// The event.
+        /// Name of the event.
         event: String,
     },
 }
--- a/components/charts/src/lib.rs
+++ b/components/charts/src/lib.rs
@@ -1,4 +1,5 @@
-//! State charts: YAML files that say which events lead from which state to which, and what a caller may be told there.
+//! State charts: YAML files that define states, the transitions between them by event, and the outcome that
+//! is reported to the caller in each state.
 
 mod chart;
 mod check;
--- a/components/charts/src/machine.rs
+++ b/components/charts/src/machine.rs
@@ -4,7 +4,7 @@
 
 use crate::{Chart, ChartError, EventKey, State, StateKey};
 
-/// One object's place in a chart.
+/// A state machine that follows a chart.
 ///
 /// ```
 /// let chart = charts::RequestChart::load()?;
@@ -18,42 +18,43 @@
 pub struct Machine {
     /// The chart.
     chart: Arc<Chart>,
-    /// The current state.
+    /// Returns the current state.
     state: StateKey,
 }
 
 impl Machine {
-    /// A machine in the chart's initial state.
+    /// Creates a machine in the chart's initial state.
     pub fn new(chart: Arc<Chart>) -> Self {
         let state = chart.initial();
         Self { chart, state }
     }
 
-    /// The current state.
+    /// Returns the current state.
     pub fn state(&self) -> &State {
         self.chart.state(self.state)
     }
 
-    /// Key of the current state.
+    /// Returns the key of the current state.
     pub fn key(&self) -> StateKey {
         self.state
     }
 
-    /// Goes to the next state; allocates only on an error.
+    /// Moves to the next state for an event and returns it. Allocates only on an error.
     ///
     /// # Errors
-    /// [`ChartError::NotAllowed`]; the state stays as it is.
+    /// [`ChartError::NotAllowed`] if the current state has no transition for the event; the state does not
+    /// change.
     pub fn fire(&mut self, event: EventKey) -> Result<&State, Report<ChartError>> {
         match self.chart.next(self.state, event) {
             Some(next) => {
                 self.state = next;
                 Ok(self.chart.state(next))
             }
-            None => Err(self.refuse(event)),
+            None => Err(self.not_allowed(event)),
         }
     }
 
-    fn refuse(&self, event: EventKey) -> Report<ChartError> {
+    fn not_allowed(&self, event: EventKey) -> Report<ChartError> {
         Report::new(ChartError::NotAllowed {
             state: self.state().name.clone(),
             event: self.chart.event_name(event).to_owned(),
--- a/components/charts/src/request.rs
+++ b/components/charts/src/request.rs
@@ -4,7 +4,7 @@
 
 use crate::{Chart, ChartError, EventKey, Machine};
 
-/// The chart of a request's life, with the keys of its events.
+/// The state chart of a request, with the keys of its events.
 ///
 /// ```
 /// let chart = charts::RequestChart::load()?;
@@ -15,45 +15,45 @@
 pub struct RequestChart {
     /// The chart.
     chart: Arc<Chart>,
-    /// The limits let the request in.
+    /// The limits admit the request.
     pub admit: EventKey,
-    /// The request is turned away before anything was sent.
+    /// The request is refused before anything was sent.
     pub refuse: EventKey,
     /// A target was chosen.
     pub place: EventKey,
-    /// The ledger holds a claim for the call.
+    /// The ledger recorded a claim for the call.
     pub claim: EventKey,
-    /// The first byte is about to be sent.
+    /// The first byte of the request is about to be sent.
     pub dispatch: EventKey,
     /// A recorded answer was found.
     pub replay: EventKey,
     /// A recorded failure was found.
     pub find_failed: EventKey,
-    /// Another try is under way, or its result is not known.
+    /// Another attempt is in progress, or its result is unknown.
     pub find_open: EventKey,
-    /// The first event of the answer came.
+    /// The first event of the answer arrived.
     pub stream: EventKey,
-    /// The whole answer came.
+    /// The complete answer arrived.
     pub answer: EventKey,
     /// The target ran the request and failed.
     pub fail: EventKey,
-    /// What the target did can not be found out.
+    /// The result of the request at the target is unknown.
     pub lose: EventKey,
     /// The request will be sent again.
     pub retry: EventKey,
-    /// The target shows that it did not run the request; it may be placed again.
+    /// The target proved that it did not run the request, which can be placed again.
     pub prove_not_run: EventKey,
-    /// The target shows that it did not run the request, and no other is tried.
+    /// The target proved that it did not run the request, and no other target is tried.
     pub refuse_by_target: EventKey,
-    /// The answer ended early.
+    /// The answer was truncated.
     pub cut: EventKey,
 }
 
 impl RequestChart {
-    /// Reads the chart that is part of the program.
+    /// Parses the chart that is compiled into the program.
     ///
     /// # Errors
-    /// As [`Chart::parse`].
+    /// As for [`Chart::parse`].
     pub fn load() -> Result<Self, Report<ChartError>> {
         let chart = Arc::new(Chart::parse(include_str!("../charts/request.yaml"))?);
         Ok(Self {
@@ -82,7 +82,7 @@
         &self.chart
     }
 
-    /// A machine in the initial state.
+    /// Creates a machine in the initial state.
     pub fn machine(&self) -> Machine {
         Machine::new(Arc::clone(&self.chart))
     }
--- a/components/charts/src/spec.rs
+++ b/components/charts/src/spec.rs
@@ -3,41 +3,41 @@
 use errors::Outcome;
 use serde::Deserialize;
 
-/// A chart as it stands in its file.
+/// A chart as written in its file.
 #[derive(Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct ChartSpec {
     /// Name of the chart.
     pub(crate) name: String,
-    /// State of a new machine.
+    /// Initial state of a machine.
     pub(crate) initial: String,
-    /// State in which the request may first have been sent.
+    /// First state in which the request may have been sent.
     pub(crate) sent: Option<String>,
     /// States by name.
     pub(crate) states: BTreeMap<String, StateSpec>,
 }
 
-/// A state as it stands in its file.
+/// A state as written in its file.
 #[derive(Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct StateSpec {
-    /// What a caller may be told.
+    /// Outcome that is reported to the caller.
     pub(crate) outcome: Outcome,
-    /// Whether nothing follows.
+    /// Whether the state is final.
     #[serde(default)]
     pub(crate) end: bool,
     /// Next state by event.
     #[serde(default)]
     pub(crate) on: BTreeMap<String, String>,
-    /// Next state by event that proves that the target did not run the request.
+    /// Next state by event, for events by which the target proves that it did not run the request.
     #[serde(default)]
     pub(crate) proved: BTreeMap<String, String>,
 }
 
 impl StateSpec {
-    /// All transitions.
+    /// Returns all transitions.
     pub(crate) fn transitions(&self) -> impl Iterator<Item = (&String, &String)> {
         self.on.iter().chain(&self.proved)
     }
--- a/components/charts/tests/charts.rs
+++ b/components/charts/tests/charts.rs
@@ -1,21 +1,21 @@
-//! The charts that are part of the program, and charts with one fault each.
+//! The charts that are compiled into the program, and charts with one error each.
 
 use charts::{Chart, ChartError, ClaimChart, RequestChart};
 use errors::Outcome;
 
-fn fault(text: &str) -> ChartError {
+fn parse_error(text: &str) -> ChartError {
     match Chart::parse(text) {
-        Ok(chart) => panic!("chart {} has no fault", chart.name()),
+        Ok(chart) => panic!("chart {} has no error", chart.name()),
         Err(report) => report.current_context().clone(),
     }
 }
 
-fn named(state: &str) -> String {
+fn name(state: &str) -> String {
     state.to_owned()
 }
 
 #[test]
-fn a_request_goes_from_received_to_answered() {
+fn request_moves_from_received_to_answered() {
     let chart = RequestChart::load().expect("chart");
     let mut machine = chart.machine();
     let mut path = vec![(machine.state().name.clone(), machine.state().outcome)];
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_retried_request_can_not_end_as_not_run() {
+fn retried_request_can_not_end_as_not_run() {
     let chart = RequestChart::load().expect("chart");
     let mut machine = chart.machine();
     for event in [
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_claim_is_held_before_anything_is_sent() {
+fn claim_is_held_before_the_request_is_sent() {
     let chart = ClaimChart::load().expect("chart");
     let mut machine = chart.machine();
     assert!(machine.fire(chart.dispatch).is_err());
@@ -85,40 +85,43 @@
 }
 
 #[test]
-fn an_unknown_state_is_found() {
+fn unknown_state_is_an_error() {
     let text = "{name: a, initial: x, states: {x: {outcome: not-run, on: {go: y}}}}";
-    assert_eq!(fault(text), ChartError::UnknownState { state: named("y") });
+    assert_eq!(parse_error(text), ChartError::UnknownState { state: name("y") });
 }
 
 #[test]
-fn an_unreachable_state_is_found() {
+fn unreachable_state_is_an_error() {
     let text =
         "{name: a, initial: x, states: {x: {outcome: not-run, end: true}, y: {outcome: ran, end: true}}}";
-    assert_eq!(fault(text), ChartError::Unreachable { state: named("y") });
+    assert_eq!(parse_error(text), ChartError::Unreachable { state: name("y") });
 }
 
 #[test]
-fn a_state_without_a_way_to_an_end_is_found() {
+fn state_without_a_path_to_a_final_state_is_an_error() {
     let text = "{name: a, initial: x, states: {x: {outcome: not-run, on: {go: x}}}}";
-    assert_eq!(fault(text), ChartError::Endless { state: named("x") });
+    assert_eq!(parse_error(text), ChartError::Endless { state: name("x") });
 }
 
 #[test]
-fn a_false_not_run_is_found_and_a_proved_one_is_not() {
+fn unproved_not_run_is_an_error_and_a_proved_one_is_not() {
     let chart = |kind: &str| {
         format!(
             "{{name: a, initial: x, sent: s, states: {{x: {{outcome: not-run, on: {{send: s}}}},
             s: {{outcome: may-have-run, {kind}: {{go: e}}}}, e: {{outcome: not-run, end: true}}}}}}"
         )
     };
-    assert_eq!(fault(&chart("on")), ChartError::FalseNotRun { state: named("e") });
+    assert_eq!(
+        parse_error(&chart("on")),
+        ChartError::FalseNotRun { state: name("e") }
+    );
     assert!(Chart::parse(&chart("proved")).is_ok());
 }
 
 #[test]
-fn a_proof_after_an_earlier_try_is_found() {
+fn proof_after_an_earlier_attempt_is_an_error() {
     let text = "{name: a, initial: x, sent: s, states: {x: {outcome: not-run, on: {send: s}},
         s: {outcome: may-have-run, on: {retry: t}}, t: {outcome: may-have-run, proved: {go: e}},
         e: {outcome: not-run, end: true}}}";
-    assert_eq!(fault(text), ChartError::UnsoundProof { state: named("t") });
+    assert_eq!(parse_error(text), ChartError::UnsoundProof { state: name("t") });
 }
