--- a/components/entry/src/control/notes.rs
+++ b/components/entry/src/control/notes.rs
@@ -7,8 +7,8 @@
 use futures_lite::FutureExt;
 use metadata::{HttpPlatform, RowVersion};
 use notes::{
-    Content, Holder, HolderEffect, HostRow, NoteError, NoteReader, NoteState, NoteStore, Obeyed,
-    ObeyedBuilder, head_interval, write_window,
+    EnforcedNotes, EnforcedNotesBuilder, HeadContent, HostRow, NoteError, NoteReader, NoteReplica, NoteState,
+    NoteStore, ReplicaEffect, head_interval, write_window,
 };
 use rand::RngExt;
 use slog::{info, warn};
@@ -103,11 +103,11 @@
     /// Reads the head with its content.
     reader: NoteReader,
     /// What is known, and until when the host may take new work.
-    holder: Holder,
+    holder: NoteReplica,
     /// Builds the views.
-    builder: ObeyedBuilder,
+    builder: EnforcedNotesBuilder,
     /// Content of what the holder knows.
-    content: Option<Content>,
+    content: Option<HeadContent>,
     /// What other entry hosts say.
     heard: async_channel::Receiver<HeardNotes>,
     /// The host's row and its version; `None` while they are not known.
@@ -136,8 +136,8 @@
         let host = &shared.settings.host;
         Self {
             reader: NoteReader::new(store.clone()),
-            holder: Holder::new(host.id.clone(), shared.incarnation, host.region.clone()),
-            builder: ObeyedBuilder::default(),
+            holder: NoteReplica::new(host.id.clone(), shared.incarnation, host.region.clone()),
+            builder: EnforcedNotesBuilder::default(),
             content: None,
             heard,
             row: None,
@@ -186,7 +186,7 @@
                 .on_answer(&heard.from, heard.incarnation, sent, &heard.state),
             None => self.holder.on_peer_state(&heard.state),
         };
-        if effects.contains(&HolderEffect::Publish) {
+        if effects.contains(&ReplicaEffect::Publish) {
             self.promote_staged();
         }
         self.publish().await;
@@ -254,9 +254,9 @@
             return self.log_confirmation();
         };
         self.failures = 0;
-        self.holder.on_reading(sent, &content.reading);
+        self.holder.on_head_read(sent, &content.head_read);
         let holds = |seq| self.holder.head().is_some_and(|head| head.seq == seq);
-        if holds(content.reading.head.seq) {
+        if holds(content.head_read.head.seq) {
             self.content = Some(content);
         }
         self.publish().await;
@@ -283,7 +283,7 @@
     }
 
     /// Hands a view to the control loop and waits until it is published.
-    async fn send(&self, obeyed: Obeyed) -> bool {
+    async fn send(&self, obeyed: EnforcedNotes) -> bool {
         let (done, published) = async_channel::bounded(1);
         let input = Input::Notes { obeyed, done };
         self.tx.send(input).await.is_ok() && published.recv().await.is_ok()
--- a/components/entry/src/control/state.rs
+++ b/components/entry/src/control/state.rs
@@ -4,7 +4,7 @@
 use ::peers::Arrived;
 use errors::events;
 use metadata::{HostRole, HostState, ListedHost};
-use notes::Obeyed;
+use notes::EnforcedNotes;
 use policy::{Candidate, CandidateKey, PlacementView, TargetState};
 use slog::info;
 use targets::{LoadReport, TargetError};
@@ -28,7 +28,7 @@
     /// What must be obeyed; the loop publishes it at once and then says so.
     Notes {
         /// What must be obeyed.
-        obeyed: Obeyed,
+        obeyed: EnforcedNotes,
         /// Told once the view is published.
         done: async_channel::Sender<()>,
     },
@@ -53,7 +53,7 @@
     /// Targets that did not answer lately.
     suspects: BTreeSet<TargetId>,
     /// What must be obeyed.
-    obeyed: Obeyed,
+    obeyed: EnforcedNotes,
     /// Engines; keys stay the same while an engine is listed.
     engines: PlacementView,
     /// Keys of the engines by name.
@@ -71,7 +71,7 @@
             peers,
             list: Vec::new(),
             suspects: BTreeSet::new(),
-            obeyed: Obeyed::default(),
+            obeyed: EnforcedNotes::default(),
             engines: PlacementView::default(),
             keys_by_id: BTreeMap::new(),
             missed: BTreeMap::new(),
@@ -214,7 +214,7 @@
     }
 
     /// Takes what must be obeyed from now on.
-    pub(crate) fn take_notes(&mut self, obeyed: Obeyed) {
+    pub(crate) fn take_notes(&mut self, obeyed: EnforcedNotes) {
         self.obeyed = obeyed;
     }
 
--- a/components/entry/src/view.rs
+++ b/components/entry/src/view.rs
@@ -3,7 +3,7 @@
 
 use arc_swap::ArcSwap;
 use metadata::HostState;
-use notes::{Declared, Obeyed, Workspace};
+use notes::{Declared, EnforcedNotes, Workspace};
 use policy::PlacementView;
 use serde::Serialize;
 use subtle::ConstantTimeEq;
@@ -49,7 +49,7 @@
     /// What the release notes declare.
     pub declared: Arc<Declared>,
     /// The same with the API keys, and how far the host knows the notes.
-    pub obeyed: Obeyed,
+    pub obeyed: EnforcedNotes,
     /// Model engines.
     pub placement: PlacementView,
     /// Plain services.
--- a/components/notes/benches/note.rs
+++ b/components/notes/benches/note.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use notes::{Declared, Note, NoteState, ObeyedBuilder, Workspace, apply};
+use notes::{Declared, EnforcedNotesBuilder, Note, NoteState, Workspace, apply};
 use utils::WorkspaceId;
 
 /// Workspaces today and at the largest size.
@@ -55,7 +55,7 @@
         let base = declared(size);
         let note = note(&base);
         let after = apply(&base, &note).unwrap_or_default();
-        let mut builder = ObeyedBuilder::default();
+        let mut builder = EnforcedNotesBuilder::default();
         let state = |head, staged| NoteState {
             head,
             staged,
--- a/components/notes/src/acceptor.rs
+++ b/components/notes/src/ack_tracker.rs
@@ -13,7 +13,7 @@
 /// once in each region enough members hold it, and one freshness period has passed since the last of
 /// them was seen to hold it: what other hosts heard from them before is too old by then.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Acceptor {
+pub struct AckTracker {
     /// The staged change.
     seq: HeadSeq,
     /// Terms of the head that is replaced.
@@ -52,7 +52,7 @@
     pub ready_at: Option<Monotonic>,
 }
 
-impl Acceptor {
+impl AckTracker {
     /// Waits for a change that was certainly staged at `now`.
     pub fn new(seq: HeadSeq, terms: Arc<Terms>, now: Monotonic) -> Self {
         Self {
--- a/components/notes/src/conflict.rs
+++ b/components/notes/src/conflict.rs
@@ -11,9 +11,9 @@
 /// let parse = |text| notes::NoteFile::parse(text, "f").unwrap().note;
 /// let a = parse("id: a\nbase: 0\nadd:\n  workspaces: {mill: {}}\n");
 /// let b = parse("id: b\nbase: 0\nadd:\n  workspaces: {mill: {priority: 1}, yard: {}}\n");
-/// assert_eq!(notes::clashes(&a, &b)[0].to_string(), "workspaces.mill");
+/// assert_eq!(notes::conflicting_entries(&a, &b)[0].to_string(), "workspaces.mill");
 /// ```
-pub fn clashes(a: &Note, b: &Note) -> Vec<EntryName> {
+pub fn conflicting_entries(a: &Note, b: &Note) -> Vec<EntryName> {
     let touched: BTreeSet<_> = a.touched().collect();
     let both: BTreeSet<_> = b.touched().filter(|name| touched.contains(name)).collect();
     both.into_iter().collect()
@@ -24,14 +24,14 @@
 /// The caller checks the outcome against the head: an entry that the note refers to may be gone.
 ///
 /// # Errors
-/// [`NoteError::Conflict`] names the first note that clashes and the entries.
+/// [`NoteError::Conflict`] names the first note that conflicts and the entries.
 pub fn rebase<'a>(
     note: &Note,
     accepted_since: impl IntoIterator<Item = &'a Note>,
     head: NoteVersion,
 ) -> Result<Note, Report<NoteError>> {
     for other in accepted_since {
-        let entries = clashes(note, other);
+        let entries = conflicting_entries(note, other);
         if !entries.is_empty() {
             return Err(Report::new(NoteError::Conflict {
                 with: other.id.clone(),
--- a/components/notes/src/obeyed.rs
+++ b/components/notes/src/enforced.rs
@@ -4,14 +4,14 @@
 use imbl::OrdMap;
 use utils::{Digest, Monotonic, WorkspaceId};
 
-use crate::narrow::narrow;
+use crate::intersect::narrow;
 use crate::{Declared, Deployment, HeadSeq, Note, NoteState, PlainService, Workspace};
 
 /// What new work must obey: what both the head and the staged note allow, and until when.
 ///
 /// Built on the control thread for each change, read by the traffic threads without a lock.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Obeyed {
+pub struct EnforcedNotes {
     /// What both allow.
     declared: Arc<Declared>,
     /// Workspaces by the digests of their keys.
@@ -22,18 +22,18 @@
     serves_until: Monotonic,
 }
 
-/// Builds [`Obeyed`] views, each from the one before.
+/// Builds [`EnforcedNotes`] views, each from the one before.
 #[derive(Debug, Clone, Default)]
-pub struct ObeyedBuilder {
+pub struct EnforcedNotesBuilder {
     /// What the head declares.
     head: Declared,
     /// Keys of the head's workspaces.
     keys: OrdMap<Digest, WorkspaceId>,
     /// The last view's number and content.
-    last: Option<(HeadSeq, Option<HeadSeq>, Obeyed)>,
+    last: Option<(HeadSeq, Option<HeadSeq>, EnforcedNotes)>,
 }
 
-impl ObeyedBuilder {
+impl EnforcedNotesBuilder {
     /// The view for a head and the staged note, if there is one.
     ///
     /// Costs as much as the two notes are long, not as much as is declared.
@@ -43,7 +43,7 @@
         head: &Declared,
         staged: Option<&Note>,
         serves_until: Monotonic,
-    ) -> Obeyed {
+    ) -> EnforcedNotes {
         if let Some((seq, staged, last)) = &mut self.last
             && (*seq, *staged) == (state.head, state.staged)
         {
@@ -58,7 +58,7 @@
         };
         let mut keys = self.keys.clone();
         index_keys(&mut keys, head, &declared);
-        let obeyed = Obeyed {
+        let obeyed = EnforcedNotes {
             declared: Arc::new(declared),
             keys,
             state,
@@ -69,7 +69,7 @@
     }
 }
 
-impl Obeyed {
+impl EnforcedNotes {
     /// The workspace that an API key of this digest belongs to, after the digest as it is kept.
     pub fn workspace_by_key(&self, key: &Digest) -> Option<(&Digest, &WorkspaceId, &Workspace)> {
         let (kept, id) = self.keys.get_key_value(key)?;
@@ -95,7 +95,7 @@
     /// Whether the host may take new work. Ask at admission and again right before dispatch.
     ///
     /// ```
-    /// assert!(!notes::Obeyed::default().may_take_new_work(std::time::Duration::ZERO));
+    /// assert!(!notes::EnforcedNotes::default().may_take_new_work(std::time::Duration::ZERO));
     /// ```
     pub fn may_take_new_work(&self, now: Monotonic) -> bool {
         now < self.serves_until
--- a/components/notes/src/file.rs
+++ b/components/notes/src/file.rs
@@ -4,7 +4,7 @@
 use serde_saphyr::Error;
 use utils::NoteVersion;
 
-use crate::places::{Places, place};
+use crate::positions::{Places, place};
 use crate::{Declared, Finding, Note, NoteError, check};
 
 /// A note with the places of its fields in the file that it came from.
--- a/components/notes/src/operator.rs
+++ b/components/notes/src/operator.rs
@@ -6,8 +6,8 @@
 
 use crate::store::NoteResult;
 use crate::{
-    AcceptStatus, Acceptor, Declared, Finding, Head, Note, NoteError, NoteId, NoteStore, Proposal, Terms,
-    check, clashes, rebase,
+    AcceptStatus, AckTracker, Declared, Finding, Head, Note, NoteError, NoteId, NoteStore, Proposal, Terms,
+    check, conflicting_entries, rebase,
 };
 
 /// Time between two reads of the hosts' rows while a change waits.
@@ -147,7 +147,7 @@
     /// The note against the present head, with what the head declares.
     ///
     /// # Errors
-    /// [`NoteError::Conflict`] names the first note accepted since that clashes, and the entries.
+    /// [`NoteError::Conflict`] names the first note accepted since that conflicts, and the entries.
     pub async fn rebase(&self, note: &Note) -> NoteResult<(Note, Declared)> {
         let head = self.store.head().await?;
         let base = self.store.declared(&head.row, None).await?;
@@ -160,7 +160,7 @@
     }
 
     fn conflict(&self, note: &Note, other: &Note) -> Option<Report<NoteError>> {
-        let entries = clashes(note, other);
+        let entries = conflicting_entries(note, other);
         let with = other.id.clone();
         (!entries.is_empty()).then(|| Report::new(NoteError::Conflict { with, entries }))
     }
@@ -180,7 +180,7 @@
             return Ok(Acceptance::InForce(head));
         };
         let terms = Arc::new(self.retry(patience, || self.store.terms(head.row.terms)).await?);
-        let mut acceptor = Acceptor::new(staged.seq, terms, self.clock.now());
+        let mut acceptor = AckTracker::new(staged.seq, terms, self.clock.now());
         let until = self.clock.now() + patience;
         loop {
             if let Ok(hosts) = self.store.hosts().await {
--- a/components/notes/src/reader.rs
+++ b/components/notes/src/reader.rs
@@ -1,7 +1,7 @@
 use std::sync::Arc;
 
 use crate::store::NoteResult;
-use crate::{Declared, Known, Note, NoteError, NoteStore, Reading, Terms};
+use crate::{Declared, HeadChange, HeadRead, Note, NoteError, NoteStore, Terms};
 use crate::{Head, HeadRow, HeadSeq};
 
 /// Reads the head row with everything that it names; keeps what does not change.
@@ -18,9 +18,9 @@
 
 /// A reading with the content of the notes.
 #[derive(Debug, Clone)]
-pub struct Content {
-    /// For the [`Holder`](crate::Holder).
-    pub reading: Reading,
+pub struct HeadContent {
+    /// For the [`NoteReplica`](crate::NoteReplica).
+    pub head_read: HeadRead,
     /// What the head declares.
     pub declared: Arc<Declared>,
     /// The staged note; `None` if nothing is staged, or a change of terms only.
@@ -42,13 +42,13 @@
     ///
     /// # Errors
     /// [`NoteError`] if anything is missing; the reading then does not count.
-    pub async fn read(&mut self) -> NoteResult<Content> {
+    pub async fn read(&mut self) -> NoteResult<HeadContent> {
         let head = self.store.head().await?;
         self.read_declared(&head.row).await?;
         let staged = self.read_staged(&head.row).await?;
-        let reading = self.reading(&head).await?;
-        Ok(Content {
-            reading,
+        let head_read = self.head_read(&head).await?;
+        Ok(HeadContent {
+            head_read,
             declared: self.declared.clone(),
             staged,
         })
@@ -84,19 +84,19 @@
         Ok(Some(note))
     }
 
-    async fn reading(&mut self, head: &Head) -> NoteResult<Reading> {
+    async fn head_read(&mut self, head: &Head) -> NoteResult<HeadRead> {
         let row = &head.row;
         let staged = match &row.staged {
-            Some(staged) => Some(Known {
+            Some(staged) => Some(HeadChange {
                 seq: staged.seq,
                 version: row.staged_version(),
                 terms: self.terms(staged.terms).await?,
             }),
             None => None,
         };
-        let reading = Reading {
+        let head_read = HeadRead {
             revision: head.revision,
-            head: Known {
+            head: HeadChange {
                 seq: row.seq,
                 version: row.version,
                 terms: self.terms(row.terms).await?,
@@ -105,7 +105,7 @@
         };
         let is_named = |seq: HeadSeq| seq == row.terms || row.staged.as_ref().is_some_and(|s| s.terms == seq);
         self.terms.retain(|(seq, _)| is_named(*seq));
-        Ok(reading)
+        Ok(head_read)
     }
 
     async fn terms(&mut self, seq: HeadSeq) -> Result<Arc<Terms>, error_stack::Report<NoteError>> {
--- a/components/notes/src/holder.rs
+++ b/components/notes/src/replica.rs
@@ -10,7 +10,7 @@
 
 /// A change of the head row that a host holds the content of.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Known {
+pub struct HeadChange {
     /// Number of the change.
     pub seq: HeadSeq,
     /// Version of the notes once the change is accepted.
@@ -19,7 +19,7 @@
     pub terms: Arc<Terms>,
 }
 
-impl Hash for Known {
+impl Hash for HeadChange {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.seq.hash(state);
     }
@@ -27,18 +27,18 @@
 
 /// One read of the head row whose content is at hand.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Reading {
+pub struct HeadRead {
     /// Version of the row.
     pub revision: RowVersion,
     /// What is accepted.
-    pub head: Known,
+    pub head: HeadChange,
     /// What is staged on top of it.
-    pub staged: Option<Known>,
+    pub staged: Option<HeadChange>,
 }
 
 /// What a host does next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum HolderEffect {
+pub enum ReplicaEffect {
     /// Write the acknowledgement of this change to the table.
     Acknowledge(HeadSeq),
     /// A peer holds a change that this host does not: read the head row at once.
@@ -54,7 +54,7 @@
 /// not hold can have been accepted: as long as its last read of the head row, or its probes to enough
 /// members of its region's roster, were sent less than the freshness period ago.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Holder {
+pub struct NoteReplica {
     /// Name of the host.
     host: HostId,
     /// Run of the process.
@@ -64,9 +64,9 @@
     /// Row version of the last reading that was taken.
     revision: RowVersion,
     /// Highest accepted change; `None` before the first reading.
-    head: Option<Known>,
+    head: Option<HeadChange>,
     /// Staged change.
-    staged: Option<Known>,
+    staged: Option<HeadChange>,
     /// When the last reading that was taken was sent.
     read_sent: Option<Monotonic>,
     /// Last open probe to each peer: its nonce and when it was sent.
@@ -79,7 +79,7 @@
     is_stopped: bool,
 }
 
-impl Holder {
+impl NoteReplica {
     /// A host that has not read a head yet.
     pub fn new(host: HostId, incarnation: Incarnation, region: RegionId) -> Self {
         Self {
@@ -100,20 +100,20 @@
     /// Takes a reading of the head row whose request was sent at `sent`.
     ///
     /// A reading that is older than what the host holds changes nothing.
-    pub fn on_reading(&mut self, sent: Monotonic, reading: &Reading) -> Vec<HolderEffect> {
+    pub fn on_head_read(&mut self, sent: Monotonic, reading: &HeadRead) -> Vec<ReplicaEffect> {
         if reading.revision < self.revision || reading.head.seq < self.head_seq() {
             return Vec::new();
         }
-        let before = self.obeyed();
+        let before = self.enforced_changes();
         self.revision = reading.revision;
         self.read_sent = self.read_sent.max(Some(sent));
         self.head = Some(reading.head.clone());
         self.staged = reading.staged.clone();
         let mut effects = Vec::new();
-        if self.obeyed() != before {
-            effects.push(HolderEffect::Publish);
+        if self.enforced_changes() != before {
+            effects.push(ReplicaEffect::Publish);
         }
-        effects.extend(self.unacknowledged().map(HolderEffect::Acknowledge));
+        effects.extend(self.unacknowledged().map(ReplicaEffect::Acknowledge));
         effects
     }
 
@@ -134,7 +134,7 @@
     }
 
     /// The echo of a probe arrived. What a peer holds counts from when the probe was sent.
-    pub fn on_echo(&mut self, peer: &HostId, echo: &NoteEcho) -> Vec<HolderEffect> {
+    pub fn on_echo(&mut self, peer: &HostId, echo: &NoteEcho) -> Vec<ReplicaEffect> {
         let open = self.probes.get(peer).copied();
         let Some((_, sent)) = open.filter(|(nonce, _)| *nonce == echo.nonce) else {
             return Vec::new();
@@ -150,7 +150,7 @@
         incarnation: Incarnation,
         sent: Monotonic,
         state: &NoteState,
-    ) -> Vec<HolderEffect> {
+    ) -> Vec<ReplicaEffect> {
         let effects = self.on_peer_state(state);
         if !state.is_ahead_of(&self.state()) {
             self.heard.insert(peer.clone(), (incarnation, sent));
@@ -159,14 +159,14 @@
     }
 
     /// A peer said what it holds. The staged change is accepted if it is the head of a peer.
-    pub fn on_peer_state(&mut self, state: &NoteState) -> Vec<HolderEffect> {
+    pub fn on_peer_state(&mut self, state: &NoteState) -> Vec<ReplicaEffect> {
         let accepted = self.staged.take_if(|staged| staged.seq == state.head);
         if let Some(staged) = accepted {
             self.head = Some(staged);
-            return vec![HolderEffect::Publish];
+            return vec![ReplicaEffect::Publish];
         }
         match state.is_ahead_of(&self.state()) {
-            true => vec![HolderEffect::ReadHead],
+            true => vec![ReplicaEffect::ReadHead],
             false => Vec::new(),
         }
     }
@@ -186,18 +186,18 @@
     }
 
     /// The changes that new work must be allowed by, all of them.
-    pub fn obeyed(&self) -> Vec<HeadSeq> {
+    pub fn enforced_changes(&self) -> Vec<HeadSeq> {
         let known = self.head.iter().chain(&self.staged);
         known.map(|known| known.seq).collect()
     }
 
     /// The highest accepted change that the host knows.
-    pub fn head(&self) -> Option<&Known> {
+    pub fn head(&self) -> Option<&HeadChange> {
         self.head.as_ref()
     }
 
     /// The staged change.
-    pub fn staged(&self) -> Option<&Known> {
+    pub fn staged(&self) -> Option<&HeadChange> {
         self.staged.as_ref()
     }
 
--- a/components/notes/src/staging.rs
+++ b/components/notes/src/staging.rs
@@ -82,7 +82,7 @@
     }
 
     /// Accepts the staged change, in one transaction on the head. The caller has waited for its
-    /// [`Acceptor`](crate::Acceptor). `base` is what the head declares.
+    /// [`AckTracker`](crate::AckTracker). `base` is what the head declares.
     ///
     /// # Errors
     /// [`NoteError::Superseded`] if the change is not staged any more, [`NoteError::Platform`].
--- a/components/notes/tests/notes/protocol.rs
+++ b/components/notes/tests/notes/protocol.rs
@@ -5,28 +5,28 @@
 
 use crate::support::{host, note, terms};
 use notes::{
-    Acceptor, Declared, Holder, HolderEffect, Known, NoteEcho, NoteState, ObeyedBuilder, Reading,
-    RegionRoster, Terms, apply,
+    AckTracker, Declared, EnforcedNotesBuilder, HeadChange, HeadRead, NoteEcho, NoteReplica, NoteState,
+    RegionRoster, ReplicaEffect, Terms, apply,
 };
 
 const MS: Duration = Duration::from_millis(1);
 
-fn reading(revision: u64, head: u64, staged: Option<u64>) -> Reading {
+fn reading(revision: u64, head: u64, staged: Option<u64>) -> HeadRead {
     let terms = Arc::new(terms(&["a", "b", "c"], 2));
-    let known = |seq| Known {
+    let known = |seq| HeadChange {
         seq,
         version: seq,
         terms: terms.clone(),
     };
-    Reading {
+    HeadRead {
         revision,
         head: known(head),
         staged: staged.map(known),
     }
 }
 
-fn holder() -> Holder {
-    Holder::new("a".into(), 1, "gwynedd".into())
+fn holder() -> NoteReplica {
+    NoteReplica::new("a".into(), 1, "gwynedd".into())
 }
 
 fn echo(nonce: u64, head: u64, staged: Option<u64>) -> NoteEcho {
@@ -46,8 +46,8 @@
 fn a_host_serves_nothing_before_its_first_reading() {
     let mut holder = holder();
     assert!(!holder.may_take_new_work(Duration::ZERO));
-    let effects = holder.on_reading(10 * MS, &reading(1, 1, None));
-    assert_eq!(effects, [HolderEffect::Publish]);
+    let effects = holder.on_head_read(10 * MS, &reading(1, 1, None));
+    assert_eq!(effects, [ReplicaEffect::Publish]);
     assert!(holder.may_take_new_work(109 * MS));
     assert!(!holder.may_take_new_work(110 * MS));
 }
@@ -55,7 +55,7 @@
 #[test]
 fn peers_extend_service_from_when_their_probe_was_sent() {
     let mut holder = holder();
-    holder.on_reading(Duration::ZERO, &reading(1, 1, None));
+    holder.on_head_read(Duration::ZERO, &reading(1, 1, None));
     holder.on_probe(500 * MS, "b".into(), 7);
     assert!(holder.on_echo(&"b".into(), &echo(8, 1, None)).is_empty());
     assert!(!holder.may_take_new_work(550 * MS));
@@ -72,24 +72,24 @@
 #[test]
 fn a_peer_that_is_ahead_does_not_count() {
     let mut holder = holder();
-    holder.on_reading(Duration::ZERO, &reading(1, 1, None));
+    holder.on_head_read(Duration::ZERO, &reading(1, 1, None));
     holder.on_probe(500 * MS, "b".into(), 7);
     let effects = holder.on_echo(&"b".into(), &echo(7, 1, Some(2)));
-    assert_eq!(effects, [HolderEffect::ReadHead]);
+    assert_eq!(effects, [ReplicaEffect::ReadHead]);
     assert!(!holder.may_take_new_work(501 * MS));
 }
 
 #[test]
 fn a_host_never_goes_back() {
     let mut holder = holder();
-    holder.on_reading(Duration::ZERO, &reading(5, 1, Some(2)));
+    holder.on_head_read(Duration::ZERO, &reading(5, 1, Some(2)));
     assert_eq!(holder.unacknowledged(), Some(2));
     let late = reading(4, 1, None);
-    assert!(holder.on_reading(MS, &late).is_empty());
-    assert_eq!(holder.obeyed(), [1, 2]);
+    assert!(holder.on_head_read(MS, &late).is_empty());
+    assert_eq!(holder.enforced_changes(), [1, 2]);
     holder.on_peer_state(&echo(0, 2, None).state);
-    assert_eq!(holder.obeyed(), [2]);
-    assert!(holder.on_reading(2 * MS, &reading(5, 1, Some(2))).is_empty());
+    assert_eq!(holder.enforced_changes(), [2]);
+    assert!(holder.on_head_read(2 * MS, &reading(5, 1, Some(2))).is_empty());
     assert_eq!(holder.state().head, 2);
 }
 
@@ -108,7 +108,7 @@
         lapse_ms: 1_000,
         regions: regions.into(),
     };
-    let mut acceptor = Acceptor::new(2, Arc::new(terms), Duration::ZERO);
+    let mut acceptor = AckTracker::new(2, Arc::new(terms), Duration::ZERO);
     let mut rows: Vec<_> = ["a", "b", "d"].map(|name| host(name, 1)).into();
     rows.iter_mut().for_each(|row| row.acknowledged = 2);
     rows[2].region = "glamorgan".into();
@@ -127,7 +127,7 @@
 
 #[test]
 fn a_minority_does_not_block_for_longer_than_the_lapse_period() {
-    let mut acceptor = Acceptor::new(2, Arc::new(terms(&["a", "b", "c", "d"], 1)), Duration::ZERO);
+    let mut acceptor = AckTracker::new(2, Arc::new(terms(&["a", "b", "c", "d"], 1)), Duration::ZERO);
     let mut rows = ["a", "b"].map(|name| host(name, 1));
     rows.iter_mut().for_each(|row| row.acknowledged = 2);
     acceptor.on_hosts(50 * MS, &rows);
@@ -149,7 +149,7 @@
     let staged = note(
         "id: b\nbase: 1\nadd:\n  workspaces: {quay: {}}\nchange:\n  workspaces: {mill: {limits: {open_streams: 5}, priority: 3}}\n  deployments:\n    quotes: {weight_version: 5, oldest_weight_version: 2, max_tokens: 9}\n    tags: {weight_version: 4, workspaces: [mill]}\n  services: {orders: {repeatable: false}}\n  rules: {local: {regions: [gwynedd, glamorgan]}}\nwithdraw:\n  workspaces: [yard]\n",
     );
-    let mut builder = ObeyedBuilder::default();
+    let mut builder = EnforcedNotesBuilder::default();
     let state = NoteState {
         head: 1,
         staged: Some(2),
@@ -187,7 +187,7 @@
     let moved = note(&format!(
         "id: b\nbase: 1\nchange:\n  workspaces:\n    mill: {{}}\n    yard: {{key_digests: [{digest}]}}\n"
     ));
-    let mut builder = ObeyedBuilder::default();
+    let mut builder = EnforcedNotesBuilder::default();
     let state = |head| NoteState {
         head,
         staged: None,
--- a/components/notes/tests/notes/schema.rs
+++ b/components/notes/tests/notes/schema.rs
@@ -1,6 +1,6 @@
 //! Reading, checking, applying, comparing and rebasing notes.
 
-use notes::{Declared, NoteError, NoteFile, apply, clashes, diff, rebase};
+use notes::{Declared, NoteError, NoteFile, apply, conflicting_entries, diff, rebase};
 
 const FIRST: &str = "\
 id: first
@@ -147,7 +147,7 @@
     let mine = parse("id: mine\nbase: 1\nchange:\n  workspaces: {mill: {priority: 1}}\n");
     let far = parse("id: far\nbase: 1\nchange:\n  workspaces: {yard: {priority: 1}}\n");
     let near = parse("id: near\nbase: 2\nwithdraw:\n  workspaces: [mill]\n");
-    assert!(clashes(&mine, &far).is_empty());
+    assert!(conflicting_entries(&mine, &far).is_empty());
     assert_eq!(rebase(&mine, [&far], 2).unwrap().base, 2);
     let e = rebase(&mine, [&far, &near], 3).unwrap_err();
     insta::assert_snapshot!(e.current_context().to_string(), @"the note clashes with near in: workspaces.mill");
--- a/components/notes/tests/notes/store.rs
+++ b/components/notes/tests/notes/store.rs
@@ -171,7 +171,7 @@
         let mut reader = NoteReader::new(store.clone());
         let content = reader.read().await.unwrap();
         assert_eq!(content.declared.workspaces.len(), 70);
-        assert_eq!(content.reading.head.version, 70);
+        assert_eq!(content.head_read.head.version, 70);
         let reads = platform.reads.load(std::sync::atomic::Ordering::Relaxed) - before;
         assert_eq!(reads, 3, "the head, the terms, the log after the snapshot");
         reader.read().await.unwrap();
--- a/components/notes/tests/notes/timing.rs
+++ b/components/notes/tests/notes/timing.rs
@@ -5,7 +5,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use notes::{Acceptor, Holder, HostRow, Known, Reading, RegionRoster, Terms, head_interval, write_window};
+use notes::{
+    AckTracker, HeadChange, HeadRead, HostRow, NoteReplica, RegionRoster, Terms, head_interval, write_window,
+};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use utils::Monotonic;
@@ -43,8 +45,8 @@
 }
 
 struct Table {
-    head: Known,
-    staged: Option<Known>,
+    head: HeadChange,
+    staged: Option<HeadChange>,
     revision: u64,
     rows: Vec<HostRow>,
     reads: BTreeMap<u64, usize>,
@@ -53,9 +55,9 @@
 
 struct Run {
     now: Monotonic,
-    hosts: Vec<Holder>,
+    hosts: Vec<NoteReplica>,
     table: Table,
-    acceptor: Option<Acceptor>,
+    acceptor: Option<AckTracker>,
     staged_at: Monotonic,
     /// Time from staging to force at the last host, for each note.
     forced: Vec<Duration>,
@@ -64,7 +66,7 @@
     rng: ChaCha8Rng,
     terms: Arc<Terms>,
     /// Readings by revision, as the table held them.
-    history: BTreeMap<u64, Reading>,
+    history: BTreeMap<u64, HeadRead>,
 }
 
 impl Run {
@@ -87,7 +89,7 @@
             row.region = region(i).into();
             row
         });
-        let head = Known {
+        let head = HeadChange {
             seq: 1,
             version: 1,
             terms: terms.clone(),
@@ -103,7 +105,7 @@
         let holders = names
             .iter()
             .enumerate()
-            .map(|(i, name)| Holder::new(name.as_str().into(), 1, region(i).into()));
+            .map(|(i, name)| NoteReplica::new(name.as_str().into(), 1, region(i).into()));
         let mut run = Self {
             now: Monotonic::ZERO,
             hosts: holders.collect(),
@@ -136,7 +138,7 @@
     }
 
     fn remember(&mut self) {
-        let reading = Reading {
+        let reading = HeadRead {
             revision: self.table.revision,
             head: self.table.head.clone(),
             staged: self.table.staged.clone(),
@@ -173,7 +175,7 @@
     fn answer(&mut self, i: usize, sent: Monotonic, revision: u64) {
         let hosts = self.hosts.len();
         let first = self.hosts[i].unacknowledged();
-        self.hosts[i].on_reading(sent, &self.history[&revision]);
+        self.hosts[i].on_head_read(sent, &self.history[&revision]);
         if let Some(seq) = self.hosts[i].unacknowledged().filter(|seq| Some(*seq) != first) {
             let spread = self.part_of(write_window(hosts as u32));
             self.at(spread + ROUND_TRIP, Event::Acknowledge(i, seq));
@@ -192,7 +194,7 @@
     fn stage(&mut self) {
         let seq = self.table.head.seq + 1;
         *self.table.writes.entry(self.now.as_secs()).or_default() += 1;
-        self.table.staged = Some(Known {
+        self.table.staged = Some(HeadChange {
             seq,
             version: seq,
             terms: self.terms.clone(),
@@ -200,7 +202,7 @@
         self.table.revision += 1;
         self.remember();
         self.staged_at = self.now;
-        self.acceptor = Some(Acceptor::new(seq, self.terms.clone(), self.now + ROUND_TRIP));
+        self.acceptor = Some(AckTracker::new(seq, self.terms.clone(), self.now + ROUND_TRIP));
         self.at(ROUND_TRIP, Event::Operator);
     }
 
--- a/specs/src/notes/bounds.rs
+++ b/specs/src/notes/bounds.rs
@@ -1,4 +1,4 @@
-use notes::Known;
+use notes::HeadChange;
 
 use super::Mutant;
 
@@ -35,7 +35,7 @@
     /// Whether an acknowledgement may reach the table late; else it does at once.
     pub with_late_acknowledgements: bool,
     /// The changes as processes learn them, shared by all states.
-    pub known: Vec<Known>,
+    pub known: Vec<HeadChange>,
     /// Fault built in.
     pub mutant: Option<Mutant>,
 }
--- a/specs/src/notes/mod.rs
+++ b/specs/src/notes/mod.rs
@@ -1,7 +1,7 @@
 //! Release notes: an accepted note is obeyed by every host that takes new work.
 //!
-//! The processes run [`notes::Holder`], the operator runs [`notes::Acceptor`]; only the network, the table's
-//! rows and the time stand here. A step of time moves every kept time back, so time itself has no end.
+//! The processes run [`notes::NoteReplica`], the operator runs [`notes::AckTracker`]; only the network, the
+//! table's rows and the time stand here. A step of time moves every kept time back, so time itself has no end.
 
 mod bounds;
 mod state;
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use notes::{Acceptor, HeadSeq, Holder, HostRow, Known, RegionRoster, Terms};
+use notes::{AckTracker, HeadChange, HeadSeq, HostRow, NoteReplica, RegionRoster, Terms};
 use utils::Monotonic;
 
 use crate::Spec;
@@ -119,7 +119,7 @@
     }
 
     /// What a process learns of a staged change.
-    fn staged(&self, head: HeadSeq, seq: HeadSeq) -> Known {
+    fn staged(&self, head: HeadSeq, seq: HeadSeq) -> HeadChange {
         let mut known = self.known[seq as usize - 1].clone();
         if self.mutant == Some(Mutant::HeadRosterOnly) {
             known.terms = self.known[head as usize - 1].terms.clone();
@@ -129,7 +129,7 @@
 
     fn with_known(mut self) -> Self {
         let seqs = 1..=self.rosters.len() as HeadSeq;
-        let known = seqs.map(|seq| Known {
+        let known = seqs.map(|seq| HeadChange {
             seq,
             version: seq,
             terms: self.terms(seq),
@@ -138,7 +138,7 @@
         self
     }
 
-    fn acceptor(&self, accepted: HeadSeq, seq: HeadSeq) -> Acceptor {
+    fn acceptor(&self, accepted: HeadSeq, seq: HeadSeq) -> AckTracker {
         let on = match self.mutant {
             Some(Mutant::UnversionedRoster) => seq,
             _ => accepted,
@@ -156,7 +156,7 @@
             Some(Mutant::NoWait) => changed.freshness_ms = 0,
             _ => {}
         }
-        Acceptor::new(seq, terms, NOW)
+        AckTracker::new(seq, terms, NOW)
     }
 
     fn rows(&self, state: &NotesState) -> Vec<HostRow> {
@@ -176,12 +176,12 @@
         .collect()
     }
 
-    fn obeyed(&self, holder: &Holder) -> Vec<HeadSeq> {
+    fn obeyed(&self, holder: &NoteReplica) -> Vec<HeadSeq> {
         let state = holder.state();
         match self.mutant {
             Some(Mutant::ObeyStagedOnly) => vec![state.staged.unwrap_or(state.head)],
             Some(Mutant::ObeyHeadOnly) => vec![state.head],
-            _ => holder.obeyed(),
+            _ => holder.enforced_changes(),
         }
     }
 
--- a/specs/src/notes/state.rs
+++ b/specs/src/notes/state.rs
@@ -1,6 +1,6 @@
 use std::collections::BTreeMap;
 
-use notes::{Acceptor, HeadSeq, Holder, NoteEcho};
+use notes::{AckTracker, HeadSeq, NoteEcho, NoteReplica};
 use utils::Monotonic;
 
 use super::{NOW, TICK};
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct NotesState {
     /// The processes; `None` before the start.
-    pub(super) holders: Vec<Option<Holder>>,
+    pub(super) holders: Vec<Option<NoteReplica>>,
     /// Run of each process.
     pub(super) incarnations: Vec<u64>,
     /// The last accepted change.
@@ -51,7 +51,7 @@
     /// Packets between processes, by sender of the probe and receiver.
     pub(super) packets: BTreeMap<(usize, usize), Packet>,
     /// The operator.
-    pub(super) acceptor: Option<Acceptor>,
+    pub(super) acceptor: Option<AckTracker>,
     /// Whether a host's head went back.
     pub(super) is_reverted: bool,
     /// Whether the one restart has happened.
--- a/specs/src/notes/steps.rs
+++ b/specs/src/notes/steps.rs
@@ -1,7 +1,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use notes::{HeadSeq, Holder, Reading};
+use notes::{HeadRead, HeadSeq, NoteReplica};
 
 use super::bounds::Process;
 use super::state::{NotesState, Packet};
@@ -32,15 +32,15 @@
     }
 
     /// A process that has read the first head just now.
-    pub(super) fn started(&self, process: &Process) -> Holder {
-        let mut holder = Holder::new(process.host.into(), process.incarnation, REGION.into());
+    pub(super) fn started(&self, process: &Process) -> NoteReplica {
+        let mut holder = NoteReplica::new(process.host.into(), process.incarnation, REGION.into());
         let reading = self.reading(1, 1, None);
-        holder.on_reading(NOW, &reading);
+        holder.on_head_read(NOW, &reading);
         holder
     }
 
-    pub(super) fn reading(&self, revision: u64, head: HeadSeq, staged: Option<HeadSeq>) -> Reading {
-        Reading {
+    pub(super) fn reading(&self, revision: u64, head: HeadSeq, staged: Option<HeadSeq>) -> HeadRead {
+        HeadRead {
             revision,
             head: self.known[head as usize - 1].clone(),
             staged: staged.map(|seq| self.staged(head, seq)),
@@ -103,7 +103,7 @@
         if process.from_start || state.holders[i].is_some() {
             return None;
         }
-        let holder = Holder::new(process.host.into(), process.incarnation, REGION.into());
+        let holder = NoteReplica::new(process.host.into(), process.incarnation, REGION.into());
         state.holders[i] = Some(holder);
         state.rows.insert(process.host, (process.incarnation, 0, false));
         state.reads[i] = Some(state.answer());
@@ -118,7 +118,7 @@
         let incarnation = state.incarnations[i] + 10;
         state.incarnations[i] = incarnation;
         state.is_restarted = true;
-        state.holders[i] = Some(Holder::new(
+        state.holders[i] = Some(NoteReplica::new(
             self.processes[i].host.into(),
             incarnation,
             REGION.into(),
@@ -143,7 +143,7 @@
         let reading = self.reading(answer.revision, answer.head, answer.staged);
         let holder = state.holders[i].as_mut()?;
         let before = holder.state().head;
-        holder.on_reading(answer.sent, &reading);
+        holder.on_head_read(answer.sent, &reading);
         state.is_reverted |= holder.state().head < before;
         if !self.with_late_acknowledgements && state.acknowledge(i).is_some() {
             self.acknowledge_lands(state, i)?;
--- a/src/cmd/note/force.rs
+++ b/src/cmd/note/force.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
 use error_stack::Report;
-use notes::{AcceptStatus, Acceptance, Acceptor, Head, NoteError, NoteFile, Operator, Terms};
+use notes::{AcceptStatus, Acceptance, AckTracker, Head, NoteError, NoteFile, Operator, Terms};
 use utils::Monotonic;
 
 use super::args::{AcceptArgs, Format, InitArgs, LogArgs, PlatformArgs};
@@ -129,7 +129,7 @@
     };
     let terms = operator.store.terms(head.row.terms).await?;
     let now: Monotonic = operator.clock.now();
-    let mut acceptor = Acceptor::new(staged.seq, terms.into(), now);
+    let mut acceptor = AckTracker::new(staged.seq, terms.into(), now);
     acceptor.on_hosts(now, hosts);
     Ok(Some(acceptor.status()))
 }
