--- a/components/notes/benches/note.rs
+++ b/components/notes/benches/note.rs
@@ -1,4 +1,4 @@
-//! Processor time of one note on a host, by number of workspaces.
+//! CPU time that one note costs on a host, by number of workspaces.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use notes::{Declared, EnforcedNotesBuilder, Note, NoteState, Workspace, apply};
 use utils::WorkspaceId;
 
-/// Workspaces today and at the largest size.
+/// Numbers of workspaces, from the present number to the largest planned one.
 const SIZES: [usize; 3] = [100, 1_000, 17_000];
 
 fn declared(workspaces: usize) -> Declared {
@@ -24,7 +24,7 @@
     }
 }
 
-/// A note that changes one workspace in the middle.
+/// Returns a note that changes one workspace in the middle of the map.
 fn note(base: &Declared) -> Note {
     let mut wanted = base.clone();
     let name = format!("workspace-{}", base.workspaces.len() / 2);
@@ -48,7 +48,7 @@
     group.finish();
 }
 
-/// Staging and accepting a note: the view of both, then the view of the new head.
+/// Builds the enforced notes after staging, then those after accepting a note.
 fn build_views(c: &mut Criterion) {
     let mut group = c.benchmark_group("views of one note");
     for size in SIZES {
--- a/components/notes/src/ack_tracker.rs
+++ b/components/notes/src/ack_tracker.rs
@@ -7,75 +7,76 @@
 
 use crate::{HeadSeq, HostRow, RegionRoster, Terms};
 
-/// An operator's wait for enough acknowledgements of a staged change.
+/// Tracks the acknowledgements of a staged change and when the change may be accepted.
 ///
-/// The roster is the one that goes with the head that the change replaces. A change may be accepted
-/// once in each region enough members hold it, and one freshness period has passed since the last of
-/// them was seen to hold it: what other hosts heard from them before is too old by then.
+/// The roster is that of the head that the change replaces. A change may be accepted once a quorum of each
+/// region's members holds it and one freshness period has passed since the last of them was seen to hold it.
+/// By then, answers that these members gave to other hosts' probes before they held the change have expired.
+/// A smaller quorum suffices after the longer lapse period.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct AckTracker {
     /// The staged change.
     seq: HeadSeq,
     /// Terms of the head that is replaced.
     terms: Arc<Terms>,
-    /// When the change was certainly staged.
+    /// A time by which the change was staged.
     staged_at: Monotonic,
-    /// Members that hold the change or have ended, with when this was first seen.
-    counted: BTreeMap<HostId, Monotonic>,
+    /// Members that hold the change or have ended, with the time at which this was first seen.
+    confirmed: BTreeMap<HostId, Monotonic>,
 }
 
-/// How far a staged change is.
+/// Progress of a staged change towards acceptance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct AcceptStatus {
-    /// Each region of the roster.
+    /// Progress by region of the roster.
     pub regions: BTreeMap<RegionId, RegionStatus>,
-    /// When the change may be accepted, if no more acknowledgements are needed.
+    /// When the change may be accepted; `None` while acknowledgements are missing.
     #[serde(skip)]
     pub ready_at: Option<Monotonic>,
 }
 
-/// How far a staged change is in a region.
+/// Progress of a staged change in one region.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct RegionStatus {
-    /// Members that hold the change or have ended.
+    /// Number of members that hold the change or have ended.
     pub counted: usize,
-    /// Members that must.
+    /// Number of members that must hold the change or have ended.
     pub needed: usize,
-    /// Members that suffice once the lapse period has passed.
+    /// Number of members that suffices once the lapse period has passed.
     pub needed_after_lapse: usize,
     /// Members that have not confirmed.
     pub missing: Vec<HostId>,
-    /// When enough members had confirmed, and the wait was over.
+    /// When enough members have confirmed and the wait after that is over; `None` while members are missing.
     #[serde(skip)]
     pub ready_at: Option<Monotonic>,
 }
 
 impl AckTracker {
-    /// Waits for a change that was certainly staged at `now`.
+    /// Creates a tracker for a change that is staged by `now`.
     pub fn new(seq: HeadSeq, terms: Arc<Terms>, now: Monotonic) -> Self {
         Self {
             seq,
             terms,
             staged_at: now,
-            counted: BTreeMap::new(),
+            confirmed: BTreeMap::new(),
         }
     }
 
-    /// Takes the hosts' rows as read at `now`.
+    /// Records the confirmations in hosts' rows that were read at `now`.
     pub fn on_hosts(&mut self, now: Monotonic, hosts: &[HostRow]) {
         for host in hosts {
             let Some(member) = self.member(host) else {
                 continue;
             };
-            if host.vouches_for(member, self.seq) {
-                self.counted.entry(host.host.clone()).or_insert(now);
+            if host.confirms(member, self.seq) {
+                self.confirmed.entry(host.host.clone()).or_insert(now);
             }
         }
     }
 
-    /// How far the change is.
+    /// Returns the progress of the change.
     pub fn status(&self) -> AcceptStatus {
         let regions: BTreeMap<_, _> = self
             .terms
@@ -89,52 +90,54 @@
         AcceptStatus { regions, ready_at }
     }
 
-    /// Whether the change may be accepted.
+    /// Returns whether the change may be accepted at `now`.
     pub fn is_ready(&self, now: Monotonic) -> bool {
         self.status().ready_at.is_some_and(|at| now >= at)
     }
 
+    /// Returns the run of the host that is a member of its region's roster.
     fn member(&self, host: &HostRow) -> Option<Incarnation> {
         let roster = self.terms.regions.get(&host.region)?;
         roster.members.get(&host.host).copied()
     }
 
     fn region_status(&self, roster: &RegionRoster) -> RegionStatus {
-        let is_counted = |host: &&HostId| self.counted.contains_key(*host);
-        let mut seen: Vec<_> = roster
+        let is_confirmed = |host: &&HostId| self.confirmed.contains_key(*host);
+        let mut confirmed_at: Vec<_> = roster
             .members
             .keys()
-            .filter_map(|host| self.counted.get(host).copied())
+            .filter_map(|host| self.confirmed.get(host).copied())
             .collect();
-        seen.sort_unstable();
-        let quick = self.reached(&seen, roster.quorum(), self.terms.freshness());
-        let slow = self.reached(&seen, roster.lapse_quorum(), self.terms.lapse());
+        confirmed_at.sort_unstable();
+        let by_quorum = self.ready_at(&confirmed_at, roster.quorum(), self.terms.freshness());
+        let by_lapse_quorum = self.ready_at(&confirmed_at, roster.lapse_quorum(), self.terms.lapse());
         RegionStatus {
-            counted: seen.len(),
+            counted: confirmed_at.len(),
             needed: roster.quorum(),
             needed_after_lapse: roster.lapse_quorum(),
             missing: roster
                 .members
                 .keys()
-                .filter(|h| !is_counted(h))
+                .filter(|h| !is_confirmed(h))
                 .cloned()
                 .collect(),
-            ready_at: quick.into_iter().chain(slow).min(),
+            ready_at: by_quorum.into_iter().chain(by_lapse_quorum).min(),
         }
     }
 
-    fn reached(&self, seen: &[Monotonic], needed: usize, wait: Duration) -> Option<Monotonic> {
-        let last = match needed {
+    /// Returns the time at which `wait` has passed since the `needed`th confirmation.
+    fn ready_at(&self, confirmed_at: &[Monotonic], needed: usize, wait: Duration) -> Option<Monotonic> {
+        let last_confirmed = match needed {
             0 => self.staged_at,
-            needed => *seen.get(needed - 1)?,
+            needed => *confirmed_at.get(needed - 1)?,
         };
-        Some(last.max(self.staged_at) + wait)
+        Some(last_confirmed.max(self.staged_at) + wait)
     }
 
-    /// Moves every kept time back by a step; explorers use it to keep the number of states finite.
-    pub fn rebase(&mut self, step: Duration) {
-        let moved = |time: &mut Monotonic| *time = time.saturating_sub(step);
-        moved(&mut self.staged_at);
-        self.counted.values_mut().for_each(moved);
+    /// Moves every stored time back by `step`. Model checkers use it to keep the number of states finite.
+    pub fn shift_times_back(&mut self, step: Duration) {
+        let shift = |time: &mut Monotonic| *time = time.saturating_sub(step);
+        shift(&mut self.staged_at);
+        self.confirmed.values_mut().for_each(shift);
     }
 }
--- a/components/notes/src/apply.rs
+++ b/components/notes/src/apply.rs
@@ -6,13 +6,14 @@
 
 use crate::{Declared, EntryKind, EntryName, Finding, Note, NoteError};
 
-/// What is declared after a note, without touching what was before.
+/// Returns what is declared after a note, without modifying the base.
 ///
-/// The caller has checked the note; only names are looked at again. Costs a logarithm of the number of
-/// entries for each entry of the note.
+/// The caller must have checked the note; only the names are checked again. Each entry of the note costs
+/// O(log n) for n declared entries.
 ///
 /// # Errors
-/// [`NoteError::WrongBase`], and [`NoteError::Invalid`] if an added entry exists or another does not.
+/// [`NoteError::WrongBase`], and [`NoteError::Invalid`] if an added entry exists already or a changed or
+/// withdrawn entry does not exist.
 ///
 /// ```
 /// let file = notes::NoteFile::parse("id: first\nbase: 0\nadd:\n  workspaces: {mill: {}}\n", "f").unwrap();
@@ -40,32 +41,32 @@
 fn apply_unchecked(base: &Declared, note: &Note) -> Declared {
     let mut next = base.clone();
     next.version += 1;
-    let (add, change, gone) = (&note.add, &note.change, &note.withdraw);
+    let (add, change, withdraw) = (&note.add, &note.change, &note.withdraw);
     update(
         &mut next.workspaces,
         [&add.workspaces, &change.workspaces],
-        &gone.workspaces,
+        &withdraw.workspaces,
     );
     update(
         &mut next.deployments,
         [&add.deployments, &change.deployments],
-        &gone.deployments,
+        &withdraw.deployments,
     );
     update(
         &mut next.services,
         [&add.services, &change.services],
-        &gone.services,
+        &withdraw.services,
     );
-    update(&mut next.rules, [&add.rules, &change.rules], &gone.rules);
+    update(&mut next.rules, [&add.rules, &change.rules], &withdraw.rules);
     next
 }
 
-/// What is declared after a note that may name entries that do not exist; for further checks.
+/// Returns what would be declared after a note whose names may be wrong; used for further checks.
 pub(crate) fn apply_for_check(base: &Declared, note: &Note) -> Declared {
     apply_unchecked(base, note)
 }
 
-/// Names that a note adds although they exist, or changes or withdraws although they do not.
+/// Returns a finding for each name that is added but exists, or is changed or withdrawn but does not exist.
 pub(crate) fn check_names(base: &Declared, note: &Note) -> Vec<Finding> {
     let added = note.add.names().map(|name| ("add", name, false));
     let changed = note.change.names().map(|name| ("change", name, true));
@@ -81,7 +82,7 @@
     findings
 }
 
-/// Withdrawn names with the paths of their fields.
+/// Returns the withdrawn names with the paths of their fields.
 pub(crate) fn withdrawn(note: &Note) -> impl Iterator<Item = (String, EntryName)> {
     let mut last = None;
     let mut i = 0;
@@ -92,7 +93,7 @@
     })
 }
 
-/// Whether an entry is declared.
+/// Returns whether an entry is declared.
 pub(crate) fn exists(base: &Declared, name: &EntryName) -> bool {
     match name.kind {
         EntryKind::Workspaces => base.workspaces.contains_key(&name.name),
--- a/components/notes/src/between.rs
+++ b/components/notes/src/between.rs
@@ -7,7 +7,7 @@
 use crate::{Declared, Note, NoteId};
 
 impl Note {
-    /// The note that leads from one version to what another declares.
+    /// Returns the note that turns the entries of `base` into those of `wanted`.
     ///
     /// ```
     /// use notes::{Declared, Note, Workspace};
@@ -24,27 +24,27 @@
             base: base.version,
             ..Self::default()
         };
-        let (add, change, gone) = (&mut note.add, &mut note.change, &mut note.withdraw);
+        let (add, change, withdraw) = (&mut note.add, &mut note.change, &mut note.withdraw);
         let (a, b) = (base, wanted);
-        gone.workspaces = split(
+        withdraw.workspaces = split(
             &a.workspaces,
             &b.workspaces,
             &mut add.workspaces,
             &mut change.workspaces,
         );
-        gone.deployments = split(
+        withdraw.deployments = split(
             &a.deployments,
             &b.deployments,
             &mut add.deployments,
             &mut change.deployments,
         );
-        gone.services = split(&a.services, &b.services, &mut add.services, &mut change.services);
-        gone.rules = split(&a.rules, &b.rules, &mut add.rules, &mut change.rules);
+        withdraw.services = split(&a.services, &b.services, &mut add.services, &mut change.services);
+        withdraw.rules = split(&a.rules, &b.rules, &mut add.rules, &mut change.rules);
         note
     }
 }
 
-/// Sorts the entries that differ into added and changed ones; returns the names of those that are gone.
+/// Puts the entries that differ into `added` and `changed`, and returns the names of the withdrawn ones.
 fn split<V: Clone + PartialEq>(
     before: &OrdMap<Arc<str>, V>,
     after: &OrdMap<Arc<str>, V>,
--- a/components/notes/src/check.rs
+++ b/components/notes/src/check.rs
@@ -7,7 +7,7 @@
 use crate::values::{check_deployment, check_rule, check_service, check_workspace};
 use crate::{Declared, Entries, EntryKind, EntryName, Finding, Note};
 
-/// Everything in a note that is not allowed against a base; empty if it can be accepted.
+/// Returns all violations in a note against a base; empty if the note can be accepted.
 ///
 /// ```
 /// let file = notes::NoteFile::parse("id: a\nbase: 0\nwithdraw:\n  rules: [gone]\n", "f").unwrap();
@@ -15,7 +15,7 @@
 /// assert_eq!(findings[0].field, "withdraw.rules.0");
 /// ```
 pub fn check(base: &Declared, note: &Note) -> Vec<Finding> {
-    let mut findings = check_frame(base, note);
+    let mut findings = check_header(base, note);
     findings.extend(check_names(base, note));
     findings.extend(check_sections(note));
     let after = apply_for_check(base, note);
@@ -28,7 +28,7 @@
     findings
 }
 
-/// A finding without a place.
+/// Creates a finding without a position.
 pub(crate) fn finding(field: String, found: impl Into<String>, allowed: impl Into<String>) -> Finding {
     Finding {
         place: None,
@@ -38,9 +38,9 @@
     }
 }
 
-fn check_frame(base: &Declared, note: &Note) -> Vec<Finding> {
+fn check_header(base: &Declared, note: &Note) -> Vec<Finding> {
     let mut findings = Vec::new();
-    if !is_name(&note.id) {
+    if !is_valid_name(&note.id) {
         findings.push(finding("id".to_owned(), format!("`{}`", note.id), NAME_RULE));
     }
     if note.base != base.version {
@@ -48,7 +48,7 @@
         findings.push(finding("base".to_owned(), note.base.to_string(), allowed));
     }
     for (section, entries) in [("add", &note.add), ("change", &note.change)] {
-        let wrong = entries.names().filter(|name| !is_name(&name.name));
+        let wrong = entries.names().filter(|name| !is_valid_name(&name.name));
         findings.extend(wrong.map(|n| finding(format!("{section}.{n}"), format!("`{}`", n.name), NAME_RULE)));
     }
     findings
@@ -95,24 +95,24 @@
 }
 
 fn check_references(after: &Declared, section: &str, entries: &Entries) -> Vec<Finding> {
-    let dangling = references(entries).filter(|(_, _, target)| !is_declared(after, target));
+    let dangling = references(entries).filter(|(_, _, reference)| !is_declared(after, reference));
     dangling
-        .map(|(owner, field, target)| {
-            let found = format!("`{}`, which no note declares", target.name());
-            finding(format!("{section}.{owner}.{field}"), found, target.allowed())
+        .map(|(owner, field, reference)| {
+            let found = format!("`{}`, which no note declares", reference.name());
+            finding(format!("{section}.{owner}.{field}"), found, reference.allowed())
         })
         .collect()
 }
 
-/// What an entry refers to.
-enum Target {
+/// Name of another entry that an entry refers to.
+enum Reference {
     /// A workspace.
     Workspace(Arc<str>),
     /// A model deployment or a plain service.
     Model(Arc<str>),
 }
 
-impl Target {
+impl Reference {
     fn name(&self) -> &Arc<str> {
         match self {
             Self::Workspace(name) | Self::Model(name) => name,
@@ -127,15 +127,15 @@
     }
 }
 
-fn is_declared(after: &Declared, target: &Target) -> bool {
-    match target {
-        Target::Workspace(name) => after.workspaces.contains_key(name),
-        Target::Model(name) => after.deployments.contains_key(name) || after.services.contains_key(name),
+fn is_declared(after: &Declared, reference: &Reference) -> bool {
+    match reference {
+        Reference::Workspace(name) => after.workspaces.contains_key(name),
+        Reference::Model(name) => after.deployments.contains_key(name) || after.services.contains_key(name),
     }
 }
 
-/// References of entries: the owner, the field in it and the target.
-fn references(entries: &Entries) -> impl Iterator<Item = (EntryName, String, Target)> {
+/// Returns the references of entries, each with its owner and the field in it.
+fn references(entries: &Entries) -> impl Iterator<Item = (EntryName, String, Reference)> {
     let deployments = entries.deployments.iter();
     let services = entries.services.iter();
     let rules = entries.rules.iter();
@@ -150,23 +150,27 @@
     kind: EntryKind,
     owner: &Arc<str>,
     names: &[WorkspaceId],
-) -> impl Iterator<Item = (EntryName, String, Target)> {
+) -> impl Iterator<Item = (EntryName, String, Reference)> {
     names.iter().enumerate().map(move |(i, name)| {
         let owner = EntryName {
             kind,
             name: owner.clone(),
         };
-        (owner, format!("workspaces.{i}"), Target::Workspace(name.clone()))
+        (
+            owner,
+            format!("workspaces.{i}"),
+            Reference::Workspace(name.clone()),
+        )
     })
 }
 
-fn of_models(owner: &Arc<str>, names: &[Arc<str>]) -> impl Iterator<Item = (EntryName, String, Target)> {
+fn of_models(owner: &Arc<str>, names: &[Arc<str>]) -> impl Iterator<Item = (EntryName, String, Reference)> {
     names.iter().enumerate().map(move |(i, name)| {
         let owner = EntryName {
             kind: EntryKind::Rules,
             name: owner.clone(),
         };
-        (owner, format!("models.{i}"), Target::Model(name.clone()))
+        (owner, format!("models.{i}"), Reference::Model(name.clone()))
     })
 }
 
@@ -174,16 +178,16 @@
     if note.withdraw.is_empty() {
         return Vec::new();
     }
-    let users = users(after);
+    let referrers = referrers(after);
     let mut findings = Vec::new();
     for (field, name) in withdrawn(note) {
         let key = (name.kind == EntryKind::Workspaces, &name.name);
         if name.kind != EntryKind::Rules
-            && let Some(user) = users.get(&key)
+            && let Some(referrer) = referrers.get(&key)
         {
             findings.push(finding(
                 field,
-                format!("an entry that {user} names"),
+                format!("an entry that {referrer} names"),
                 "an entry that no other names",
             ));
         }
@@ -191,12 +195,13 @@
     findings
 }
 
-/// The names that entries refer to, whether of a workspace, each with one entry that does.
-fn users(after: &Declared) -> BTreeMap<(bool, &Arc<str>), EntryName> {
-    let mut users = BTreeMap::new();
+/// Returns one referring entry for each name that entries refer to. The key's flag tells whether the name is
+/// that of a workspace.
+fn referrers(after: &Declared) -> BTreeMap<(bool, &Arc<str>), EntryName> {
+    let mut referrers = BTreeMap::new();
     for (name, deployment) in &after.deployments {
-        insert_users(
-            &mut users,
+        insert_referrers(
+            &mut referrers,
             EntryKind::Deployments,
             name,
             true,
@@ -204,28 +209,34 @@
         );
     }
     for (name, service) in &after.services {
-        insert_users(&mut users, EntryKind::Services, name, true, &service.workspaces);
+        insert_referrers(
+            &mut referrers,
+            EntryKind::Services,
+            name,
+            true,
+            &service.workspaces,
+        );
     }
     for (name, rule) in &after.rules {
-        insert_users(&mut users, EntryKind::Rules, name, true, &rule.workspaces);
-        insert_users(&mut users, EntryKind::Rules, name, false, &rule.models);
+        insert_referrers(&mut referrers, EntryKind::Rules, name, true, &rule.workspaces);
+        insert_referrers(&mut referrers, EntryKind::Rules, name, false, &rule.models);
     }
-    users
+    referrers
 }
 
-fn insert_users<'a>(
-    users: &mut BTreeMap<(bool, &'a Arc<str>), EntryName>,
+fn insert_referrers<'a>(
+    referrers: &mut BTreeMap<(bool, &'a Arc<str>), EntryName>,
     kind: EntryKind,
     owner: &Arc<str>,
     is_workspace: bool,
-    targets: &'a [Arc<str>],
+    references: &'a [Arc<str>],
 ) {
-    for target in targets {
+    for reference in references {
         let owner = EntryName {
             kind,
             name: owner.clone(),
         };
-        users.insert((is_workspace, target), owner);
+        referrers.insert((is_workspace, reference), owner);
     }
 }
 
@@ -251,7 +262,7 @@
                     let field = format!("{section}.workspaces.{name}.key_digests.{i}");
                     findings.push(finding(
                         field,
-                        "a key that stands twice",
+                        "a key that is listed twice",
                         "each key once over all workspaces",
                     ));
                 }
@@ -264,7 +275,7 @@
 const NAME_RULE: &str = "1 to 63 of a-z, 0-9, `-`, `_` and `.`";
 const MAX_NAME_BYTES: usize = 63;
 
-fn is_name(name: &str) -> bool {
+fn is_valid_name(name: &str) -> bool {
     let is_allowed = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b"-_.".contains(&b);
     (1..=MAX_NAME_BYTES).contains(&name.len()) && name.bytes().all(is_allowed)
 }
--- a/components/notes/src/conflict.rs
+++ b/components/notes/src/conflict.rs
@@ -5,7 +5,7 @@
 
 use crate::{EntryName, Note, NoteError};
 
-/// Entries that both notes touch, in order.
+/// Returns the entries that both notes touch, in order.
 ///
 /// ```
 /// let parse = |text| notes::NoteFile::parse(text, "f").unwrap().note;
@@ -19,9 +19,10 @@
     both.into_iter().collect()
 }
 
-/// The same note against a later head, if none of the notes accepted since touches its entries.
+/// Returns the note with a later head as its base, if no note accepted since touches its entries.
 ///
-/// The caller checks the outcome against the head: an entry that the note refers to may be gone.
+/// The caller must check the result against the head: an entry that the note refers to may have been
+/// withdrawn.
 ///
 /// # Errors
 /// [`NoteError::Conflict`] names the first note that conflicts and the entries.
--- a/components/notes/src/declared.rs
+++ b/components/notes/src/declared.rs
@@ -6,9 +6,10 @@
 use serde::{Deserialize, Serialize};
 use utils::{Digest, FailureDomainId, ModelId, NoteVersion, RegionId, ServiceId, WeightVersion, WorkspaceId};
 
-/// Everything that the accepted notes declare, as of one version.
+/// All entries that the accepted notes declare, as of one version.
 ///
-/// The maps are persistent: a clone shares their nodes, so a version costs as much as its note is long.
+/// The maps are persistent: a clone shares their nodes, so the cost of a version grows with the length of its
+/// note.
 ///
 /// ```
 /// let declared = notes::Declared::default();
@@ -26,35 +27,35 @@
     pub deployments: OrdMap<ModelId, Deployment>,
     /// Plain services by name.
     pub services: OrdMap<ServiceId, PlainService>,
-    /// Rules for where work may run, by name.
+    /// Placement rules by name.
     pub rules: OrdMap<Arc<str>, Rule>,
 }
 
-/// A customer's space: keys, limits and preferences.
+/// A customer's workspace: API keys, limits and preferences.
 #[derive(Debug, Clone, PartialEq, Default)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Workspace {
-    /// BLAKE3 digests of the API keys that belong to the workspace.
+    /// BLAKE3 digests of the workspace's API keys.
     pub key_digests: Vec<Digest>,
-    /// Limits on what the workspace sends.
+    /// Limits on the requests of the workspace.
     pub limits: Limits,
-    /// What placement should save.
+    /// Weights of the parts of the placement cost.
     pub cost: CostWeights,
-    /// Requests with a lower number are served first under load; 0 to 9.
+    /// Priority from 0 to 9; under load, requests with a lower number are served first.
     pub priority: u8,
 }
 
-/// Limits on what one workspace sends, over all hosts together.
+/// Limits on the requests of one workspace, summed over all hosts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_second: f64,
-    /// Prompt tokens a second.
+    /// Prompt tokens per second.
     pub prompt_tokens_per_second: f64,
-    /// Streams open at once.
+    /// Maximum number of concurrent streams.
     pub open_streams: u32,
 }
 
@@ -68,16 +69,16 @@
     }
 }
 
-/// How much each part of a placement's cost counts, in seconds of time to first token.
+/// Weights of the parts of a placement's cost, in seconds of time to first token.
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CostWeights {
-    /// For a second until the first token.
+    /// Weight of a second until the first token.
     pub first_token: f64,
-    /// For a thousand prompt tokens computed again.
+    /// Weight of a thousand recomputed prompt tokens.
     pub recomputed: f64,
-    /// For a megabyte over the link between regions.
+    /// Weight of a megabyte over the link between regions.
     pub link: f64,
 }
 
@@ -107,10 +108,11 @@
     /// Workspaces that may use the model; empty for all.
     #[serde(default)]
     pub workspaces: Vec<WorkspaceId>,
-    /// Most tokens that a request may ask for.
+    /// Maximum number of tokens that a request may ask for.
     #[serde(default = "default_max_tokens")]
     pub max_tokens: u32,
-    /// Longest time from a request to its first token, in milliseconds; later is refused early.
+    /// Maximum time from a request to its first token, in milliseconds; a request that would exceed it is
+    /// refused early.
     #[serde(default = "default_first_token_ms")]
     pub first_token_deadline_ms: u64,
 }
@@ -120,9 +122,9 @@
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlainService {
-    /// Whether a call may be sent again after it may have run.
+    /// Whether a call may be retried after it may have run.
     pub repeatable: bool,
-    /// Longest time for a call, in milliseconds.
+    /// Timeout of a call, in milliseconds.
     #[serde(default = "default_call_ms")]
     pub timeout_ms: u64,
     /// Workspaces that may call the service; empty for all.
@@ -130,7 +132,7 @@
     pub workspaces: Vec<WorkspaceId>,
 }
 
-/// Where work of a workspace or model may run. Every rule that matches must allow a place.
+/// Placement rule for work of workspaces and models. Every rule that matches must allow a placement.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
@@ -139,7 +141,7 @@
     pub workspaces: Vec<WorkspaceId>,
     /// Models and services that the rule covers; empty for all.
     pub models: Vec<ModelId>,
-    /// What the rule does.
+    /// Whether the named regions and failure domains are allowed or excluded.
     pub effect: Effect,
     /// Regions that the rule names.
     pub regions: Vec<RegionId>,
@@ -147,51 +149,51 @@
     pub failure_domains: Vec<FailureDomainId>,
 }
 
-/// Whether a rule names the places that are allowed or those that are not.
+/// Whether a rule allows or excludes the regions and failure domains that it names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
-    /// Only the named places.
+    /// Allows only the named regions and failure domains.
     #[default]
     Only,
-    /// All but the named places.
+    /// Allows all but the named regions and failure domains.
     Never,
 }
 
 impl PlainService {
-    /// Longest time for a call.
+    /// Returns the timeout of a call.
     pub fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms)
     }
 }
 
 impl Deployment {
-    /// Longest time from a request to its first token.
+    /// Returns the maximum time from a request to its first token.
     pub fn first_token_deadline(&self) -> Duration {
         Duration::from_millis(self.first_token_deadline_ms)
     }
 
-    /// Weight versions that new requests may use.
+    /// Returns the weight versions that new requests may use.
     pub fn weight_versions(&self) -> RangeInclusive<WeightVersion> {
         self.oldest_weight_version.unwrap_or(self.weight_version)..=self.weight_version
     }
 
-    /// Whether a workspace may use the model.
+    /// Returns whether a workspace may use the model.
     pub fn is_open_to(&self, workspace: &str) -> bool {
         is_listed(&self.workspaces, workspace)
     }
 }
 
 impl PlainService {
-    /// Whether a workspace may call the service.
+    /// Returns whether a workspace may call the service.
     pub fn is_open_to(&self, workspace: &str) -> bool {
         is_listed(&self.workspaces, workspace)
     }
 }
 
 impl Rule {
-    /// Whether the rule lets work of `workspace` for `model` run in a place.
+    /// Returns whether the rule lets work of `workspace` for `model` run in a failure domain of a region.
     pub fn allows(&self, workspace: &str, model: &str, region: &str, failure_domain: &str) -> bool {
         if !is_listed(&self.workspaces, workspace) || !is_listed(&self.models, model) {
             return true;
@@ -204,7 +206,7 @@
 }
 
 impl Declared {
-    /// Whether every rule lets work of `workspace` for `model` run in a place.
+    /// Returns whether every rule lets work of `workspace` for `model` run in a failure domain of a region.
     pub fn allows(&self, workspace: &str, model: &str, region: &str, failure_domain: &str) -> bool {
         self.rules
             .values()
--- a/components/notes/src/diff.rs
+++ b/components/notes/src/diff.rs
@@ -8,46 +8,46 @@
 
 use crate::{Declared, EntryKind, EntryName};
 
-/// What happened to one entry between two versions.
+/// Difference of one entry between two versions.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize)]
 pub struct EntryChange {
-    /// The entry.
+    /// Name of the entry.
     pub entry: EntryName,
-    /// What happened to it.
+    /// Whether the entry was added, changed or withdrawn.
     pub action: EntryAction,
     /// Fields that differ, by path; all fields of an added or withdrawn entry.
     pub fields: Vec<FieldChange>,
 }
 
-/// What happened to an entry.
+/// How an entry differs between two versions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EntryAction {
-    /// It is new.
+    /// The entry is new.
     Added,
-    /// It has other content.
+    /// The entry has other content.
     Changed,
-    /// It is gone.
+    /// The entry was removed.
     Withdrawn,
 }
 
-/// One field that differs.
+/// A field that differs between two versions of an entry.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize)]
 pub struct FieldChange {
-    /// Path inside the entry, parts joined by dots.
+    /// Path inside the entry, its parts joined by dots.
     pub field: String,
-    /// Value before, if the field was there.
+    /// Value before, if the field existed.
     pub before: Option<Value>,
-    /// Value after, if the field is there.
+    /// Value after, if the field exists.
     pub after: Option<Value>,
 }
 
-/// What differs between two versions, in the order of the entries.
+/// Returns the differences between two versions, in the order of the entries.
 ///
-/// Parts that both versions share in memory are skipped.
+/// Subtrees of the maps that both versions share in memory are skipped.
 ///
 /// ```
 /// let before = notes::Declared::default();
@@ -143,7 +143,7 @@
 }
 
 impl EntryAction {
-    /// The sign at the start of a line.
+    /// Returns the sign that starts the entry's line in printed differences.
     pub fn sign(self) -> char {
         match self {
             Self::Added => '+',
--- a/components/notes/src/enforced.rs
+++ b/components/notes/src/enforced.rs
@@ -4,39 +4,39 @@
 use imbl::OrdMap;
 use utils::{Digest, Monotonic, WorkspaceId};
 
-use crate::intersect::narrow;
+use crate::intersect::intersect;
 use crate::{Declared, Deployment, HeadSeq, Note, NoteState, PlainService, Workspace};
 
-/// What new work must obey: what both the head and the staged note allow, and until when.
+/// What both the head and the staged note allow, and the time until which new work may be taken under it.
 ///
-/// Built on the control thread for each change, read by the traffic threads without a lock.
+/// The control thread builds a value for each change; the traffic threads read it without a lock.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct EnforcedNotes {
-    /// What both allow.
+    /// Entries that both the head and the staged note allow.
     declared: Arc<Declared>,
     /// Workspaces by the digests of their keys.
     keys: OrdMap<Digest, WorkspaceId>,
-    /// What the host knows about the notes.
+    /// Changes of the head row that the host holds.
     state: NoteState,
-    /// From when on the host takes no new work.
+    /// Time from which the host takes no new work.
     serves_until: Monotonic,
 }
 
-/// Builds [`EnforcedNotes`] views, each from the one before.
+/// Builds [`EnforcedNotes`] values, each incrementally from the previous head.
 #[derive(Debug, Clone, Default)]
 pub struct EnforcedNotesBuilder {
-    /// What the head declares.
+    /// Entries that the previous head declares.
     head: Declared,
-    /// Keys of the head's workspaces.
+    /// Workspaces of the previous head by the digests of their keys.
     keys: OrdMap<Digest, WorkspaceId>,
-    /// The last view's number and content.
+    /// Head and staged change of the last value, and the value.
     last: Option<(HeadSeq, Option<HeadSeq>, EnforcedNotes)>,
 }
 
 impl EnforcedNotesBuilder {
-    /// The view for a head and the staged note, if there is one.
+    /// Builds the value for a head and the staged note, if there is one.
     ///
-    /// Costs as much as the two notes are long, not as much as is declared.
+    /// The cost grows with the length of the two notes, not with the number of declared entries.
     pub fn build(
         &mut self,
         state: NoteState,
@@ -53,7 +53,7 @@
         index_keys(&mut self.keys, &self.head, head);
         self.head = head.clone();
         let declared = match staged {
-            Some(note) => narrow(head, note),
+            Some(note) => intersect(head, note),
             None => head.clone(),
         };
         let mut keys = self.keys.clone();
@@ -70,29 +70,31 @@
 }
 
 impl EnforcedNotes {
-    /// The workspace that an API key of this digest belongs to, after the digest as it is kept.
+    /// Returns the workspace that owns the API key with this digest: the stored digest, the name and the
+    /// entry.
     pub fn workspace_by_key(&self, key: &Digest) -> Option<(&Digest, &WorkspaceId, &Workspace)> {
-        let (kept, id) = self.keys.get_key_value(key)?;
+        let (stored, id) = self.keys.get_key_value(key)?;
         let (id, workspace) = self.declared.workspaces.get_key_value(id)?;
-        Some((kept, id, workspace))
+        Some((stored, id, workspace))
     }
 
-    /// A model deployment.
+    /// Returns a model deployment.
     pub fn deployment(&self, model: &str) -> Option<&Deployment> {
         self.declared.deployments.get(model)
     }
 
-    /// A plain service.
+    /// Returns a plain service.
     pub fn service(&self, name: &str) -> Option<&PlainService> {
         self.declared.services.get(name)
     }
 
-    /// Whether work of `workspace` for `model` may run in a place.
+    /// Returns whether work of `workspace` for `model` may run in a failure domain of a region.
     pub fn allows(&self, workspace: &str, model: &str, region: &str, failure_domain: &str) -> bool {
         self.declared.allows(workspace, model, region, failure_domain)
     }
 
-    /// Whether the host may take new work. Ask at admission and again right before dispatch.
+    /// Returns whether the host may take new work. Callers check at admission and again right before
+    /// dispatch.
     ///
     /// ```
     /// assert!(!notes::EnforcedNotes::default().may_take_new_work(std::time::Duration::ZERO));
@@ -101,18 +103,18 @@
         now < self.serves_until
     }
 
-    /// Everything that both allow.
+    /// Returns all entries that both the head and the staged note allow.
     pub fn declared(&self) -> &Arc<Declared> {
         &self.declared
     }
 
-    /// What the host knows about the notes.
+    /// Returns the changes of the head row that the host holds.
     pub fn state(&self) -> NoteState {
         self.state
     }
 }
 
-/// Moves an index of keys from one version to another.
+/// Updates an index of key digests from the workspaces of one version to those of another.
 fn index_keys(keys: &mut OrdMap<Digest, WorkspaceId>, before: &Declared, after: &Declared) {
     let mut added = BTreeMap::new();
     for item in before.workspaces.diff(&after.workspaces) {
--- a/components/notes/src/error.rs
+++ b/components/notes/src/error.rs
@@ -6,52 +6,52 @@
 
 use crate::{EntryName, HeadSeq, NoteId};
 
-/// Line and column in a note file, both from 1.
+/// Position in a note file; line and column count from 1.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize)]
-pub struct Place {
-    /// Line.
+pub struct Position {
+    /// Line, from 1.
     pub line: u64,
-    /// Column.
+    /// Column, from 1.
     pub column: u64,
 }
 
-/// One thing in a note that is not allowed.
+/// A violation that the check of a note found.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct Finding {
-    /// Where it stands, if the note came from a file.
-    pub place: Option<Place>,
-    /// Path of the field, parts joined by dots.
+    /// Position in the file, if the note came from a file.
+    pub place: Option<Position>,
+    /// Path of the field, its parts joined by dots.
     pub field: String,
-    /// What stands there.
+    /// Description of the value found.
     pub found: String,
-    /// What may stand there.
+    /// Description of the allowed values.
     pub allowed: String,
 }
 
-/// Why a note can not be read, applied or accepted.
+/// Reason why a note can not be read, applied or accepted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum NoteError {
-    /// The file can not be read.
+    /// The note file can not be read.
     #[error("can not read {file}")]
     Unreadable {
         /// Path of the file.
         file: String,
     },
-    /// Something in the note is not allowed.
+    /// The note violates the checks.
     #[error("{}", render(file, findings))]
     Invalid {
         /// Path of the file.
         file: String,
-        /// All that is not allowed.
+        /// All violations.
         findings: Vec<Finding>,
     },
     /// The note was written against another version.
     #[error("the note is based on version {found}; the head is {head}")]
     WrongBase {
-        /// Base that the note names.
+        /// Base version in the note.
         found: NoteVersion,
         /// Version of the head.
         head: NoteVersion,
@@ -59,23 +59,23 @@
     /// Another note changes the same entries.
     #[error("the note clashes with {with} in: {}", join(entries))]
     Conflict {
-        /// The note that came first.
+        /// The note that was staged or accepted first.
         with: NoteId,
-        /// Entries that both touch.
+        /// Entries that both notes touch.
         entries: Vec<EntryName>,
     },
     /// Another note is staged already.
     #[error("note {id} is staged already as change {seq}")]
     OtherStaged {
-        /// The staged note.
+        /// Id of the staged note.
         id: NoteId,
-        /// Its number.
+        /// Number of its change.
         seq: HeadSeq,
     },
-    /// The staged change was replaced or given up by another operator.
+    /// Another operator replaced or abandoned the staged change.
     #[error("the staged change {seq} was given up by another operator")]
     Superseded {
-        /// Its number.
+        /// Number of the change.
         seq: HeadSeq,
     },
     /// A newer run of the host has registered.
@@ -84,24 +84,24 @@
         /// Name of the host.
         host: HostId,
     },
-    /// A note of this id came into force before.
+    /// A note with this id has already come into force.
     #[error("note {id} is in force already, as version {version}")]
     AcceptedBefore {
-        /// The note.
+        /// Id of the note.
         id: NoteId,
-        /// Version that it made.
+        /// Version that it produced.
         version: NoteVersion,
     },
     /// The platform has no head row yet.
     #[error("the platform holds no release notes yet")]
     NoHead,
-    /// A row or object does not hold what it should.
+    /// A row or object is missing or can not be decoded.
     #[error("{key} does not hold what it should")]
     Malformed {
         /// Key of the row or object.
         key: String,
     },
-    /// The platform failed.
+    /// A call to the platform failed.
     #[error(transparent)]
     Platform(#[from] PlatformError),
 }
--- a/components/notes/src/file.rs
+++ b/components/notes/src/file.rs
@@ -4,20 +4,20 @@
 use serde_saphyr::Error;
 use utils::NoteVersion;
 
-use crate::positions::{Places, place};
+use crate::positions::{FieldPositions, position};
 use crate::{Declared, Finding, Note, NoteError, check};
 
-/// A note with the places of its fields in the file that it came from.
+/// A note, with the text that it was read from and the positions of its fields.
 #[derive(Debug, Clone)]
 pub struct NoteFile {
     /// The note.
     pub note: Note,
-    /// The text as it was read.
+    /// Text of the file as it was read.
     text: String,
-    /// Path of the file, for errors.
+    /// Path of the file, used in errors.
     file: String,
-    /// Places of the fields.
-    places: Places,
+    /// Positions of the fields.
+    positions: FieldPositions,
 }
 
 impl NoteFile {
@@ -42,30 +42,30 @@
     /// assert_eq!(&*file.note.id, "first");
     /// ```
     pub fn parse(text: &str, file: &str) -> Result<Self, Report<NoteError>> {
-        let places = Places::of(text);
+        let positions = FieldPositions::of(text);
         match serde_saphyr::from_str(text) {
             Ok(note) => Ok(Self {
                 note,
                 text: text.to_owned(),
                 file: file.to_owned(),
-                places,
+                positions,
             }),
             Err(e) => Err(Report::new(NoteError::Invalid {
                 file: file.to_owned(),
-                findings: vec![syntax_finding(&e, &places)],
+                findings: vec![syntax_finding(&e, &positions)],
             })),
         }
     }
 
-    /// The text with another base; comments and everything else stay as they are.
+    /// Returns the text with another base version; comments and everything else stay unchanged.
     ///
     /// ```
     /// let file = notes::NoteFile::parse("id: a # mine\nbase: 4 # old\n", "a.yaml").unwrap();
     /// assert_eq!(file.text_with_base(7), "id: a # mine\nbase: 7 # old\n");
     /// ```
     pub fn text_with_base(&self, base: NoteVersion) -> String {
-        let place = self.places.find("base");
-        let Some(line) = place.map(|place| place.line as usize) else {
+        let position = self.positions.find("base");
+        let Some(line) = position.map(|position| position.line as usize) else {
             return self.text.clone();
         };
         let (old, new) = (self.note.base.to_string(), base.to_string());
@@ -77,14 +77,14 @@
         replaced.collect()
     }
 
-    /// Checks the note against what its base declares.
+    /// Checks the note against the entries that its base declares.
     ///
     /// # Errors
-    /// [`NoteError::Invalid`] with all that is not allowed.
+    /// [`NoteError::Invalid`] with all violations.
     pub fn check(&self, base: &Declared) -> Result<(), Report<NoteError>> {
         let mut findings = check(base, &self.note);
         for finding in &mut findings {
-            finding.place = self.places.find(&finding.field);
+            finding.place = self.positions.find(&finding.field);
         }
         if findings.is_empty() {
             return Ok(());
@@ -97,10 +97,10 @@
     }
 }
 
-fn syntax_finding(e: &Error, places: &Places) -> Finding {
+fn syntax_finding(e: &Error, positions: &FieldPositions) -> Finding {
     let e = e.without_snippet();
-    let place = e.location().map(place);
-    let at = place.and_then(|place| places.field_at(place));
+    let place = e.location().map(position);
+    let at = place.and_then(|place| positions.field_at(place));
     let (path, value) = at.unwrap_or(("note", ""));
     let (field, found, allowed) = match e {
         Error::SerdeUnknownField { field, expected, .. } => (
@@ -129,7 +129,7 @@
         other => (
             path.to_owned(),
             "not readable".to_owned(),
-            without_place(&other.to_string()),
+            without_position(&other.to_string()),
         ),
     };
     Finding {
@@ -149,6 +149,6 @@
     }
 }
 
-fn without_place(message: &str) -> String {
+fn without_position(message: &str) -> String {
     message.split(" at line ").next().unwrap_or_default().to_owned()
 }
--- a/components/notes/src/intersect.rs
+++ b/components/notes/src/intersect.rs
@@ -5,30 +5,31 @@
 
 use crate::{Declared, Deployment, Limits, Note, PlainService, Workspace};
 
-/// What both a head and a note on top of it allow. Costs as much as the note is long.
-pub(crate) fn narrow(head: &Declared, note: &Note) -> Declared {
-    let mut both = head.clone();
-    remove_all(&mut both.workspaces, &note.withdraw.workspaces);
-    remove_all(&mut both.deployments, &note.withdraw.deployments);
-    remove_all(&mut both.services, &note.withdraw.services);
+/// Returns what both a head and a note on top of it allow. The cost grows with the length of the note.
+pub(crate) fn intersect(head: &Declared, note: &Note) -> Declared {
+    let mut common = head.clone();
+    remove_all(&mut common.workspaces, &note.withdraw.workspaces);
+    remove_all(&mut common.deployments, &note.withdraw.deployments);
+    remove_all(&mut common.services, &note.withdraw.services);
     for (name, staged) in &note.change.workspaces {
-        narrow_entry(&mut both.workspaces, name, |head| {
-            Some(narrow_workspace(head, staged))
+        intersect_entry(&mut common.workspaces, name, |head| {
+            Some(intersect_workspace(head, staged))
         });
     }
     for (name, staged) in &note.change.deployments {
-        narrow_entry(&mut both.deployments, name, |head| {
-            narrow_deployment(head, staged)
+        intersect_entry(&mut common.deployments, name, |head| {
+            intersect_deployment(head, staged)
         });
     }
     for (name, staged) in &note.change.services {
-        narrow_entry(&mut both.services, name, |head| narrow_service(head, staged));
+        intersect_entry(&mut common.services, name, |head| intersect_service(head, staged));
     }
-    // A withdrawn rule stays, and a changed one counts twice: every rule must allow a place.
+    // Every rule must allow a placement, so a withdrawn rule stays and a changed rule applies in both
+    // versions.
     for (name, rule) in note.add.rules.iter().chain(&note.change.rules) {
-        both.rules.insert(format!("{name}/staged").into(), rule.clone());
+        common.rules.insert(format!("{name}/staged").into(), rule.clone());
     }
-    both
+    common
 }
 
 fn remove_all<V: Clone>(map: &mut OrdMap<Arc<str>, V>, names: &[Arc<str>]) {
@@ -37,18 +38,18 @@
     }
 }
 
-fn narrow_entry<V: Clone>(
+fn intersect_entry<V: Clone>(
     map: &mut OrdMap<Arc<str>, V>,
     name: &Arc<str>,
-    narrow: impl FnOnce(&V) -> Option<V>,
+    intersect: impl FnOnce(&V) -> Option<V>,
 ) {
-    match map.get(name).and_then(narrow) {
-        Some(both) => map.insert(name.clone(), both),
+    match map.get(name).and_then(intersect) {
+        Some(common) => map.insert(name.clone(), common),
         None => map.remove(name),
     };
 }
 
-fn narrow_workspace(head: &Workspace, staged: &Workspace) -> Workspace {
+fn intersect_workspace(head: &Workspace, staged: &Workspace) -> Workspace {
     let is_kept = |key: &&utils::Digest| staged.key_digests.contains(key);
     let (a, b) = (&head.limits, &staged.limits);
     Workspace {
@@ -63,8 +64,8 @@
     }
 }
 
-/// `None` if no weight version, adapter or workspace is allowed by both.
-fn narrow_deployment(head: &Deployment, staged: &Deployment) -> Option<Deployment> {
+/// Returns `None` if both have no weight version, adapter or workspace in common.
+fn intersect_deployment(head: &Deployment, staged: &Deployment) -> Option<Deployment> {
     let oldest = *head
         .weight_versions()
         .start()
@@ -77,25 +78,26 @@
         weight_version: newest,
         oldest_weight_version: Some(oldest),
         adapter: head.adapter.clone(),
-        workspaces: narrow_list(&head.workspaces, &staged.workspaces)?,
+        workspaces: intersect_list(&head.workspaces, &staged.workspaces)?,
         max_tokens: head.max_tokens.min(staged.max_tokens),
         first_token_deadline_ms: head.first_token_deadline_ms.min(staged.first_token_deadline_ms),
     })
 }
 
-fn narrow_service(head: &PlainService, staged: &PlainService) -> Option<PlainService> {
+fn intersect_service(head: &PlainService, staged: &PlainService) -> Option<PlainService> {
     Some(PlainService {
         repeatable: head.repeatable && staged.repeatable,
         timeout_ms: head.timeout_ms.min(staged.timeout_ms),
-        workspaces: narrow_list(&head.workspaces, &staged.workspaces)?,
+        workspaces: intersect_list(&head.workspaces, &staged.workspaces)?,
     })
 }
 
-/// What two lists allow, where an empty list stands for all; `None` if they allow nothing in common.
-fn narrow_list(a: &[WorkspaceId], b: &[WorkspaceId]) -> Option<Vec<WorkspaceId>> {
+/// Returns the names that two lists allow, where an empty list allows all; `None` if they have none in
+/// common.
+fn intersect_list(a: &[WorkspaceId], b: &[WorkspaceId]) -> Option<Vec<WorkspaceId>> {
     if a.is_empty() || b.is_empty() {
         return Some(if a.is_empty() { b.to_vec() } else { a.to_vec() });
     }
-    let both: Vec<_> = a.iter().filter(|name| b.contains(name)).cloned().collect();
-    (!both.is_empty()).then_some(both)
+    let common: Vec<_> = a.iter().filter(|name| b.contains(name)).cloned().collect();
+    (!common.is_empty()).then_some(common)
 }
--- a/components/notes/src/lib.rs
+++ b/components/notes/src/lib.rs
@@ -1,4 +1,5 @@
-//! Release notes: what is in force, and how a note changes it.
+//! Release notes: the declared entries in force, and how a note is checked, staged and accepted to change
+//! them.
 
 mod ack_tracker;
 mod apply;
@@ -31,7 +32,7 @@
 pub use declared::{CostWeights, Declared, Deployment, Effect, Limits, PlainService, Rule, Workspace};
 pub use diff::{EntryAction, EntryChange, FieldChange, diff};
 pub use enforced::{EnforcedNotes, EnforcedNotesBuilder};
-pub use error::{Finding, NoteError, Place};
+pub use error::{Finding, NoteError, Position};
 pub use file::NoteFile;
 pub use note::{Entries, EntryKind, EntryName, Names, Note, NoteId};
 pub use operator::{Acceptance, Operator};
--- a/components/notes/src/note.rs
+++ b/components/notes/src/note.rs
@@ -10,7 +10,7 @@
 /// Identifier of a note, unique over all notes of a deployment.
 pub type NoteId = Arc<str>;
 
-/// A release note: what is added, changed and withdrawn against a base version.
+/// A release note: the entries that are added, changed and withdrawn against a base version.
 #[derive(Debug, Clone, PartialEq, Default)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -19,21 +19,21 @@
     pub id: NoteId,
     /// Accepted version that the note was written against.
     pub base: NoteVersion,
-    /// Why the note exists, for the log.
+    /// Reason for the note, shown in the log.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub summary: String,
     /// New entries.
     #[serde(default, skip_serializing_if = "Entries::is_empty")]
     pub add: Entries,
-    /// Entries that replace those of the same name, whole.
+    /// Entries that replace those of the same name as a whole.
     #[serde(default, skip_serializing_if = "Entries::is_empty")]
     pub change: Entries,
-    /// Names of entries that are removed.
+    /// Names of the entries to remove.
     #[serde(default, skip_serializing_if = "Names::is_empty")]
     pub withdraw: Names,
 }
 
-/// Entries with their content.
+/// Entries of a note with their content, by kind.
 #[derive(Debug, Clone, PartialEq, Default)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
@@ -52,37 +52,37 @@
     pub rules: BTreeMap<Arc<str>, Rule>,
 }
 
-/// Names of entries.
+/// Names of entries, by kind.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Names {
-    /// Workspaces.
+    /// Names of workspaces.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub workspaces: Vec<WorkspaceId>,
-    /// Model deployments.
+    /// Names of model deployments.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub deployments: Vec<ModelId>,
-    /// Plain services.
+    /// Names of plain services.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub services: Vec<ServiceId>,
-    /// Rules.
+    /// Names of rules.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub rules: Vec<Arc<str>>,
 }
 
-/// What an entry is.
+/// Kind of an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EntryKind {
-    /// A customer's space.
+    /// A customer's workspace.
     Workspaces,
     /// A model deployment.
     Deployments,
     /// A plain service.
     Services,
-    /// A rule for where work may run.
+    /// A placement rule.
     Rules,
 }
 
@@ -90,14 +90,14 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct EntryName {
-    /// What the entry is.
+    /// Kind of the entry.
     pub kind: EntryKind,
-    /// Name inside its kind.
+    /// Name, unique within the kind.
     pub name: Arc<str>,
 }
 
 impl EntryKind {
-    /// The field of a note that holds entries of this kind.
+    /// Returns the name of the field that holds entries of this kind in a note.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Workspaces => "workspaces",
@@ -115,12 +115,12 @@
 }
 
 impl Entries {
-    /// Whether there is no entry.
+    /// Returns whether there is no entry.
     pub fn is_empty(&self) -> bool {
         self.names().next().is_none()
     }
 
-    /// Names of all entries.
+    /// Returns the names of all entries.
     pub fn names(&self) -> impl Iterator<Item = EntryName> {
         named(EntryKind::Workspaces, self.workspaces.keys())
             .chain(named(EntryKind::Deployments, self.deployments.keys()))
@@ -130,12 +130,12 @@
 }
 
 impl Names {
-    /// Whether there is no name.
+    /// Returns whether there is no name.
     pub fn is_empty(&self) -> bool {
         self.names().next().is_none()
     }
 
-    /// All names.
+    /// Returns all names.
     pub fn names(&self) -> impl Iterator<Item = EntryName> {
         named(EntryKind::Workspaces, &self.workspaces)
             .chain(named(EntryKind::Deployments, &self.deployments))
@@ -145,7 +145,7 @@
 }
 
 impl Note {
-    /// Names of all entries that the note adds, changes or withdraws.
+    /// Returns the names of all entries that the note adds, changes or withdraws.
     pub fn touched(&self) -> impl Iterator<Item = EntryName> {
         self.add
             .names()
--- a/components/notes/src/operator.rs
+++ b/components/notes/src/operator.rs
@@ -10,53 +10,53 @@
     check, conflicting_entries, rebase,
 };
 
-/// Time between two reads of the hosts' rows while a change waits.
+/// Time between two reads of the hosts' rows while a change awaits acknowledgements.
 const HOSTS_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between two tries while another change is staged or the platform fails.
+/// Time between two attempts while another change is staged or the platform fails.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Takes notes through staging to acceptance, for an operator or for a host that changes the roster.
+/// Stages and accepts changes, for an operator or for a host that changes the roster.
 pub struct Operator {
-    /// Where the notes are.
+    /// Store that holds the notes.
     pub store: NoteStore,
-    /// Time.
+    /// Clock for timeouts and the log.
     pub clock: Arc<dyn Clock>,
 }
 
-/// How an attempt to accept a change ended.
+/// Outcome of an attempt to accept a change.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Acceptance {
     /// The change is in force.
     InForce(Head),
-    /// The change is staged and not accepted: not enough hosts have confirmed.
+    /// The change stays staged because too few hosts have confirmed it.
     Waiting {
         /// The head with the staged change.
         head: Head,
-        /// Which regions have not confirmed.
+        /// Progress by region.
         status: AcceptStatus,
     },
 }
 
 impl Operator {
-    /// Checks a note and stages it; goes on with a note of the same id that is staged already.
+    /// Checks a note and stages it. If the same note is already staged, continues with that.
     ///
     /// # Errors
-    /// [`NoteError::Conflict`] with the clashing entries if another note came first, [`NoteError::Invalid`],
-    /// [`NoteError::AcceptedBefore`], [`NoteError::Platform`].
-    pub async fn stage(&self, note: &Note, patience: Duration) -> NoteResult<(Head, Declared)> {
-        let until = self.clock.now() + patience;
+    /// [`NoteError::Conflict`] with the conflicting entries if another note came first,
+    /// [`NoteError::Invalid`], [`NoteError::AcceptedBefore`], [`NoteError::Platform`].
+    pub async fn stage(&self, note: &Note, timeout: Duration) -> NoteResult<(Head, Declared)> {
+        let deadline = self.clock.now() + timeout;
         loop {
             let outcome = self.try_stage(note).await;
             let Err(e) = &outcome else {
                 return outcome;
             };
-            let is_worth_waiting = match e.current_context() {
-                // Only a change of the roster passes by itself.
+            let is_retryable = match e.current_context() {
+                // A staged change of the roster is accepted without an operator, so a retry can succeed.
                 NoteError::OtherStaged { id, .. } => &**id == "(roster)",
                 NoteError::Superseded { .. } | NoteError::Platform(_) => true,
                 _ => false,
             };
-            if !is_worth_waiting || self.clock.now() >= until {
+            if !is_retryable || self.clock.now() >= deadline {
                 return outcome;
             }
             smol::Timer::after(RETRY_INTERVAL).await;
@@ -79,7 +79,7 @@
             if other == *note {
                 return Ok((head, base));
             }
-            return Err(self.conflict(note, &other).unwrap_or_else(|| {
+            return Err(self.conflict_error(note, &other).unwrap_or_else(|| {
                 Report::new(NoteError::OtherStaged {
                     id: other.id.clone(),
                     seq: staged.seq,
@@ -95,7 +95,7 @@
         Ok((head, base))
     }
 
-    /// Names the entries that clash with a note accepted since the base, then all other findings.
+    /// Fails with the conflicts with notes accepted since the base, else with the other violations.
     async fn check_base(&self, note: &Note, base: &Declared) -> NoteResult<()> {
         if note.base < base.version {
             for row in self
@@ -103,7 +103,7 @@
                 .log(note.base, (base.version.saturating_sub(note.base)) as usize)
                 .await?
             {
-                if let Some(conflict) = self.conflict(note, &row.note) {
+                if let Some(conflict) = self.conflict_error(note, &row.note) {
                     return Err(conflict);
                 }
             }
@@ -122,7 +122,8 @@
         }))
     }
 
-    /// Brings into force what `wanted` declares, by one note of this id; also writes the first head row.
+    /// Brings what `wanted` declares into force with one note of this id. Writes the first head row if there
+    /// is none.
     ///
     /// # Errors
     /// As [`Operator::stage`] and [`Operator::accept`].
@@ -131,20 +132,20 @@
         id: impl Into<NoteId>,
         terms: &Terms,
         wanted: &Declared,
-        patience: Duration,
+        timeout: Duration,
     ) -> NoteResult<Acceptance> {
         let head = self.store.bootstrap(terms).await?;
         let base = self.store.declared(&head.row, None).await?;
         let note = Note::between(id, &base, wanted);
-        let (head, base) = self.stage(&note, patience).await?;
+        let (head, base) = self.stage(&note, timeout).await?;
         if base.version == 0 {
-            // Nothing is declared yet, so no host takes work under the head that the note replaces.
-            return self.commit(head, &base, patience).await.map(Acceptance::InForce);
+            // Nothing is declared yet, so no host takes new work under the head that the note replaces.
+            return self.commit(head, &base, timeout).await.map(Acceptance::InForce);
         }
-        self.accept(head, &base, patience, |_| {}).await
+        self.accept(head, &base, timeout, |_| {}).await
     }
 
-    /// The note against the present head, with what the head declares.
+    /// Returns the note rebased on the current head, and what the head declares.
     ///
     /// # Errors
     /// [`NoteError::Conflict`] names the first note accepted since that conflicts, and the entries.
@@ -159,94 +160,99 @@
         Ok((rebased, base))
     }
 
-    fn conflict(&self, note: &Note, other: &Note) -> Option<Report<NoteError>> {
+    fn conflict_error(&self, note: &Note, other: &Note) -> Option<Report<NoteError>> {
         let entries = conflicting_entries(note, other);
         let with = other.id.clone();
         (!entries.is_empty()).then(|| Report::new(NoteError::Conflict { with, entries }))
     }
 
-    /// Waits until enough hosts have confirmed the staged change, then accepts it. `progress` sees every step.
+    /// Waits until enough hosts have confirmed the staged change, then accepts it. Calls `progress` after
+    /// each read of the hosts' rows.
     ///
     /// # Errors
-    /// [`NoteError::Superseded`] if another operator gave the change up, [`NoteError::Malformed`].
+    /// [`NoteError::Superseded`] if another operator abandoned the change, [`NoteError::Malformed`].
     pub async fn accept(
         &self,
         head: Head,
         base: &Declared,
-        patience: Duration,
+        timeout: Duration,
         mut progress: impl FnMut(&AcceptStatus),
     ) -> NoteResult<Acceptance> {
         let Some(staged) = head.row.staged.clone() else {
             return Ok(Acceptance::InForce(head));
         };
-        let terms = Arc::new(self.retry(patience, || self.store.terms(head.row.terms)).await?);
-        let mut acceptor = AckTracker::new(staged.seq, terms, self.clock.now());
-        let until = self.clock.now() + patience;
+        let terms = Arc::new(self.retry(timeout, || self.store.terms(head.row.terms)).await?);
+        let mut tracker = AckTracker::new(staged.seq, terms, self.clock.now());
+        let deadline = self.clock.now() + timeout;
         loop {
             if let Ok(hosts) = self.store.hosts().await {
-                acceptor.on_hosts(self.clock.now(), &hosts);
+                tracker.on_hosts(self.clock.now(), &hosts);
             }
-            let status = acceptor.status();
+            let status = tracker.status();
             progress(&status);
-            if acceptor.is_ready(self.clock.now()) {
-                return self.commit(head, base, patience).await.map(Acceptance::InForce);
+            if tracker.is_ready(self.clock.now()) {
+                return self.commit(head, base, timeout).await.map(Acceptance::InForce);
             }
-            if self.clock.now() >= until {
+            if self.clock.now() >= deadline {
                 return Ok(Acceptance::Waiting { head, status });
             }
             smol::Timer::after(HOSTS_INTERVAL).await;
         }
     }
 
-    /// Accepts, and after a lost answer reads back whether the change came into force.
-    async fn commit(&self, head: Head, base: &Declared, patience: Duration) -> NoteResult<Head> {
-        let until = self.clock.now() + patience;
+    /// Accepts the change. After a failure, reads back whether the change came into force, and retries if
+    /// not.
+    async fn commit(&self, head: Head, base: &Declared, timeout: Duration) -> NoteResult<Head> {
+        let deadline = self.clock.now() + timeout;
         loop {
             let failed = match self.store.accept(&head, base, self.clock.wall()).await {
                 Ok(accepted) => return Ok(accepted),
                 Err(e) => e,
             };
-            if let Some(outcome) = self.settle(&head).await {
+            if let Some(outcome) = self.resolve(&head).await {
                 return outcome;
             }
-            if self.clock.now() >= until {
+            if self.clock.now() >= deadline {
                 return Err(failed);
             }
             smol::Timer::after(RETRY_INTERVAL).await;
         }
     }
 
-    /// What became of a staged change; `None` if it is still staged or can not be known now.
-    async fn settle(&self, staged: &Head) -> Option<NoteResult<Head>> {
-        let change = staged.row.staged.as_ref()?;
+    /// Returns the outcome of a staged change; `None` if it is still staged or the outcome can not be read
+    /// now.
+    async fn resolve(&self, staged: &Head) -> Option<NoteResult<Head>> {
+        let staged_change = staged.row.staged.as_ref()?;
         let now = self.store.head().await.ok()?;
         if now.revision == staged.revision {
             return None;
         }
-        let is_accepted = match &change.note {
+        let is_accepted = match &staged_change.note {
             Some(id) => self
                 .store
                 .accepted_note(id)
                 .await
                 .ok()?
-                .is_some_and(|n| n.seq == change.seq),
-            None => now.row.seq == change.seq,
+                .is_some_and(|n| n.seq == staged_change.seq),
+            None => now.row.seq == staged_change.seq,
         };
         Some(match is_accepted {
             true => Ok(now),
-            false => Err(Report::new(NoteError::Superseded { seq: change.seq })),
+            false => Err(Report::new(NoteError::Superseded {
+                seq: staged_change.seq,
+            })),
         })
     }
 
     async fn retry<T, F: Future<Output = NoteResult<T>>>(
         &self,
-        patience: Duration,
+        timeout: Duration,
         call: impl Fn() -> F,
     ) -> NoteResult<T> {
-        let until = self.clock.now() + patience;
+        let deadline = self.clock.now() + timeout;
         loop {
             match call().await {
-                Err(e) if is_passing(&e) && self.clock.now() < until => {
+                Err(e) if is_transient(&e) && self.clock.now() < deadline => {
                     smol::Timer::after(RETRY_INTERVAL).await;
                 }
                 done => return done,
@@ -255,6 +261,6 @@
     }
 }
 
-fn is_passing(e: &Report<NoteError>) -> bool {
+fn is_transient(e: &Report<NoteError>) -> bool {
     matches!(e.current_context(), NoteError::Platform(_))
 }
--- a/components/notes/src/pace.rs
+++ b/components/notes/src/pace.rs
@@ -1,11 +1,11 @@
 use std::time::Duration;
 
-/// Reads of the head a second that all hosts together may cause.
+/// Maximum reads of the head row per second, over all hosts together.
 const READS_PER_SECOND: u32 = 240;
-/// Rows a second that all hosts together may write.
+/// Maximum rows written per second, over all hosts together.
 const WRITES_PER_SECOND: u32 = 72;
 
-/// Time between two reads of the head by one of `hosts` hosts, at least `shortest`.
+/// Returns the time between two reads of the head row by one of `hosts` hosts, at least `shortest`.
 ///
 /// ```
 /// use std::time::Duration;
@@ -18,7 +18,7 @@
     shortest.max(Duration::from_secs(1) * hosts / READS_PER_SECOND)
 }
 
-/// Time over which `hosts` hosts spread one write each.
+/// Returns the time over which `hosts` hosts spread one write each.
 ///
 /// ```
 /// assert_eq!(notes::write_window(144), std::time::Duration::from_secs(2));
--- a/components/notes/src/positions.rs
+++ b/components/notes/src/positions.rs
@@ -5,51 +5,51 @@
 use serde::de::{Deserializer, MapAccess, SeqAccess, Visitor};
 use serde_saphyr::{Location, Spanned};
 
-use crate::Place;
+use crate::Position;
 
-/// Where each field of a YAML text stands, by its path.
+/// Positions of the fields of a YAML text, by path.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Places {
-    /// Place and scalar content by path.
-    by_path: BTreeMap<String, (Place, String)>,
+pub(crate) struct FieldPositions {
+    /// Position and scalar content by path.
+    by_path: BTreeMap<String, (Position, String)>,
 }
 
-/// Any YAML value, with the place of each part.
+/// A YAML value with the position of each part.
 enum Node {
     /// A mapping, in the order of the text.
     Map(Vec<(Spanned<String>, Spanned<Node>)>),
-    /// A sequence.
+    /// A sequence, in the order of the text.
     List(Vec<Spanned<Node>>),
-    /// Anything else, as text.
+    /// A scalar, as text.
     Scalar(String),
 }
 
-impl Places {
-    /// Reads the places of a text; empty if it is not YAML.
+impl FieldPositions {
+    /// Returns the positions in a text; empty if the text is not YAML.
     pub(crate) fn of(text: &str) -> Self {
-        let mut places = Self::default();
+        let mut positions = Self::default();
         if let Ok(root) = serde_saphyr::from_str::<Spanned<Node>>(text) {
-            places.collect("", &root.value);
+            positions.collect("", &root.value);
         }
-        places
+        positions
     }
 
-    /// Place of a field, or of the nearest parent that stands in the text.
-    pub(crate) fn find(&self, path: &str) -> Option<Place> {
+    /// Returns the position of a field, or of its nearest parent that is in the text.
+    pub(crate) fn find(&self, path: &str) -> Option<Position> {
         let mut path = path;
         loop {
-            if let Some((place, _)) = self.by_path.get(path) {
-                return Some(*place);
+            if let Some((position, _)) = self.by_path.get(path) {
+                return Some(*position);
             }
             path = &path[..path.rfind('.')?];
         }
     }
 
-    /// The last field that starts at a place or before it on the same line, with its content.
-    pub(crate) fn field_at(&self, place: Place) -> Option<(&str, &str)> {
-        let on_line = self.by_path.iter().filter(|(_, (p, _))| p.line == place.line);
+    /// Returns the last field that starts on the position's line at or before its column, with its content.
+    pub(crate) fn field_at(&self, position: Position) -> Option<(&str, &str)> {
+        let on_line = self.by_path.iter().filter(|(_, (p, _))| p.line == position.line);
         on_line
-            .filter(|(_, (p, _))| p.column <= place.column)
+            .filter(|(_, (p, _))| p.column <= position.column)
             .max_by_key(|(path, (p, _))| (p.column, path.len()))
             .map(|(path, (_, found))| (path.as_str(), found.as_str()))
     }
@@ -80,13 +80,13 @@
             Node::List(_) => "a sequence".to_owned(),
             Node::Scalar(text) => text.clone(),
         };
-        self.by_path.insert(path.to_owned(), (place(location), found));
+        self.by_path.insert(path.to_owned(), (position(location), found));
     }
 }
 
-/// The place that a location of the parser stands for.
-pub(crate) fn place(location: Location) -> Place {
-    Place {
+/// Converts a location of the parser to a position.
+pub(crate) fn position(location: Location) -> Position {
+    Position {
         line: location.line(),
         column: location.column(),
     }
--- a/components/notes/src/reader.rs
+++ b/components/notes/src/reader.rs
@@ -4,31 +4,31 @@
 use crate::{Declared, HeadChange, HeadRead, Note, NoteError, NoteStore, Terms};
 use crate::{Head, HeadRow, HeadSeq};
 
-/// Reads the head row with everything that it names; keeps what does not change.
+/// Reads the head row with the notes and terms that it refers to, and caches what does not change.
 pub struct NoteReader {
-    /// Where the notes are.
+    /// Store that holds the notes.
     store: NoteStore,
-    /// What the last head that was read declares.
+    /// Entries that the last head read declares.
     declared: Arc<Declared>,
     /// The last staged note that was read.
     staged: Option<(HeadSeq, Arc<Note>)>,
-    /// Terms by the change that brought them.
+    /// Terms with the numbers of the changes that introduced them.
     terms: Vec<(HeadSeq, Arc<Terms>)>,
 }
 
-/// A reading with the content of the notes.
+/// A read of the head row with the content of its notes.
 #[derive(Debug, Clone)]
 pub struct HeadContent {
-    /// For the [`NoteReplica`](crate::NoteReplica).
+    /// The read, as input for [`NoteReplica`](crate::NoteReplica).
     pub head_read: HeadRead,
-    /// What the head declares.
+    /// Entries that the head declares.
     pub declared: Arc<Declared>,
-    /// The staged note; `None` if nothing is staged, or a change of terms only.
+    /// The staged note; `None` if nothing or only a change of terms is staged.
     pub staged: Option<Arc<Note>>,
 }
 
 impl NoteReader {
-    /// A reader that has read nothing yet.
+    /// Creates a reader with an empty cache.
     pub fn new(store: NoteStore) -> Self {
         Self {
             store,
@@ -38,10 +38,11 @@
         }
     }
 
-    /// Reads the head row, and what it names if that is new: one read if nothing has changed.
+    /// Reads the head row, and the content that it refers to unless that is cached. Costs one read of the
+    /// table if nothing has changed.
     ///
     /// # Errors
-    /// [`NoteError`] if anything is missing; the reading then does not count.
+    /// [`NoteError`] if any part can not be read; the caller then must not use the read for freshness.
     pub async fn read(&mut self) -> NoteResult<HeadContent> {
         let head = self.store.head().await?;
         self.read_declared(&head.row).await?;
@@ -59,7 +60,7 @@
             return Ok(());
         }
         let next = match &self.staged {
-            // The staged note that is known already is the one that was accepted.
+            // The cached staged note is the one that was accepted.
             Some((seq, note)) if *seq == row.seq && note.base == self.declared.version => {
                 crate::apply(&self.declared, note)?
             }
--- a/components/notes/src/replica.rs
+++ b/components/notes/src/replica.rs
@@ -8,14 +8,14 @@
 
 use crate::{HeadSeq, NoteEcho, NoteState, RegionRoster, Terms};
 
-/// A change of the head row that a host holds the content of.
+/// A staged or accepted change of the head row whose content the host has read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeadChange {
     /// Number of the change.
     pub seq: HeadSeq,
-    /// Version of the notes once the change is accepted.
+    /// Version of the notes after the change is accepted.
     pub version: NoteVersion,
-    /// Terms that go with the change.
+    /// Terms that apply under the change.
     pub terms: Arc<Terms>,
 }
 
@@ -25,34 +25,35 @@
     }
 }
 
-/// One read of the head row whose content is at hand.
+/// Result of one read of the head row, with the terms that the row refers to.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct HeadRead {
     /// Version of the row.
     pub revision: RowVersion,
-    /// What is accepted.
+    /// Last accepted change.
     pub head: HeadChange,
-    /// What is staged on top of it.
+    /// Change that is staged on top of the head.
     pub staged: Option<HeadChange>,
 }
 
-/// What a host does next.
+/// Action that the caller carries out for the replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ReplicaEffect {
     /// Write the acknowledgement of this change to the table.
     Acknowledge(HeadSeq),
-    /// A peer holds a change that this host does not: read the head row at once.
+    /// Read the head row at once, because a peer has a change that this host lacks.
     ReadHead,
-    /// What the host obeys has changed: publish it.
+    /// Publish the enforced changes, which differ from the last ones.
     Publish,
 }
 
-/// What an entry host knows about the release notes, and until when it may take new work.
+/// An entry host's replica of the head row, and the time until which the host may take new work.
 ///
-/// It obeys the head and the staged change both, so that it makes no difference to new work at which
-/// moment the staged one is accepted. It takes new work only while it is certain that no change that it does
-/// not hold can have been accepted: as long as its last read of the head row, or its probes to enough
-/// members of its region's roster, were sent less than the freshness period ago.
+/// The host enforces both the head and the staged change, so the moment at which the staged change is
+/// accepted makes no difference to new work. It takes new work only while no change that it lacks can have
+/// been accepted: its last read of the head row, or its probes to enough members of its region's roster, must
+/// have been sent less than the freshness period ago. If a majority of the roster does not answer, the last
+/// read must also be younger than the lapse period.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct NoteReplica {
     /// Name of the host.
@@ -61,26 +62,26 @@
     incarnation: Incarnation,
     /// Region of the host.
     region: RegionId,
-    /// Row version of the last reading that was taken.
+    /// Version of the head row at the last read that was applied.
     revision: RowVersion,
-    /// Highest accepted change; `None` before the first reading.
+    /// Highest accepted change; `None` before the first read.
     head: Option<HeadChange>,
     /// Staged change.
     staged: Option<HeadChange>,
-    /// When the last reading that was taken was sent.
+    /// When the latest applied read was sent; `None` before the first.
     read_sent: Option<Monotonic>,
-    /// Last open probe to each peer: its nonce and when it was sent.
+    /// Last unanswered probe to each peer: its nonce and when it was sent.
     probes: BTreeMap<HostId, (u64, Monotonic)>,
-    /// For each peer the run that answered, and when the answered probe was sent.
-    heard: BTreeMap<HostId, (Incarnation, Monotonic)>,
-    /// Highest change whose acknowledgement is in the table.
+    /// Last answer of each peer: the run that answered, and when the answered probe was sent.
+    answers: BTreeMap<HostId, (Incarnation, Monotonic)>,
+    /// Highest change whose acknowledgement is known to be in the table.
     acknowledged: HeadSeq,
-    /// Whether the host has said that it stops.
+    /// Whether the host has stopped taking new work.
     is_stopped: bool,
 }
 
 impl NoteReplica {
-    /// A host that has not read a head yet.
+    /// Creates the replica of a host that has not read the head row yet.
     pub fn new(host: HostId, incarnation: Incarnation, region: RegionId) -> Self {
         Self {
             host,
@@ -91,15 +92,15 @@
             staged: None,
             read_sent: None,
             probes: BTreeMap::new(),
-            heard: BTreeMap::new(),
+            answers: BTreeMap::new(),
             acknowledged: 0,
             is_stopped: false,
         }
     }
 
-    /// Takes a reading of the head row whose request was sent at `sent`.
+    /// Applies a read of the head row that was sent at `sent`.
     ///
-    /// A reading that is older than what the host holds changes nothing.
+    /// Ignores a read that is older than the replica.
     pub fn on_head_read(&mut self, sent: Monotonic, reading: &HeadRead) -> Vec<ReplicaEffect> {
         if reading.revision < self.revision || reading.head.seq < self.head_seq() {
             return Vec::new();
@@ -117,23 +118,23 @@
         effects
     }
 
-    /// The staged change whose acknowledgement is not known to be in the table.
+    /// Returns the staged change if its acknowledgement is not known to be in the table.
     pub fn unacknowledged(&self) -> Option<HeadSeq> {
         let staged = self.staged.as_ref()?.seq;
         (staged > self.acknowledged && !self.is_stopped).then_some(staged)
     }
 
-    /// The acknowledgement of a change is in the table.
+    /// Records that the acknowledgement of a change is in the table.
     pub fn on_acknowledged(&mut self, seq: HeadSeq) {
         self.acknowledged = self.acknowledged.max(seq);
     }
 
-    /// A probe to a peer is about to be sent.
+    /// Records that a probe to a peer is about to be sent.
     pub fn on_probe(&mut self, now: Monotonic, peer: HostId, nonce: u64) {
         self.probes.insert(peer, (nonce, now));
     }
 
-    /// The echo of a probe arrived. What a peer holds counts from when the probe was sent.
+    /// Applies the echo of a probe. The peer's state counts as of the time when the probe was sent.
     pub fn on_echo(&mut self, peer: &HostId, echo: &NoteEcho) -> Vec<ReplicaEffect> {
         let open = self.probes.get(peer).copied();
         let Some((_, sent)) = open.filter(|(nonce, _)| *nonce == echo.nonce) else {
@@ -143,7 +144,8 @@
         self.on_answer(peer, echo.incarnation, sent, &echo.state)
     }
 
-    /// A run of a peer answered a probe that was sent at `sent`, by a transport that has checked the nonce.
+    /// Applies the answer of a peer's run to a probe that was sent at `sent`; the transport has checked the
+    /// nonce.
     pub fn on_answer(
         &mut self,
         peer: &HostId,
@@ -153,12 +155,13 @@
     ) -> Vec<ReplicaEffect> {
         let effects = self.on_peer_state(state);
         if !state.is_ahead_of(&self.state()) {
-            self.heard.insert(peer.clone(), (incarnation, sent));
+            self.answers.insert(peer.clone(), (incarnation, sent));
         }
         effects
     }
 
-    /// A peer said what it holds. The staged change is accepted if it is the head of a peer.
+    /// Applies the state that a peer reported. If it shows the staged change as the head, the change is
+    /// accepted.
     pub fn on_peer_state(&mut self, state: &NoteState) -> Vec<ReplicaEffect> {
         let accepted = self.staged.take_if(|staged| staged.seq == state.head);
         if let Some(staged) = accepted {
@@ -171,12 +174,12 @@
         }
     }
 
-    /// The host takes no new work from here on.
+    /// Stops the host from taking new work.
     pub fn stop(&mut self) {
         self.is_stopped = true;
     }
 
-    /// What the host tells its peers.
+    /// Returns the state that the host reports to its peers.
     pub fn state(&self) -> NoteState {
         NoteState {
             head: self.head_seq(),
@@ -185,60 +188,67 @@
         }
     }
 
-    /// The changes that new work must be allowed by, all of them.
+    /// Returns the numbers of the changes that must all allow new work: the head and the staged change.
     pub fn enforced_changes(&self) -> Vec<HeadSeq> {
-        let known = self.head.iter().chain(&self.staged);
-        known.map(|known| known.seq).collect()
+        let changes = self.head.iter().chain(&self.staged);
+        changes.map(|change| change.seq).collect()
     }
 
-    /// The highest accepted change that the host knows.
+    /// Returns the highest accepted change that the host knows.
     pub fn head(&self) -> Option<&HeadChange> {
         self.head.as_ref()
     }
 
-    /// The staged change.
+    /// Returns the staged change.
     pub fn staged(&self) -> Option<&HeadChange> {
         self.staged.as_ref()
     }
 
-    /// When the last reading that was taken was sent.
+    /// Returns when the latest applied read was sent.
     pub fn read_sent(&self) -> Option<Monotonic> {
         self.read_sent
     }
 
-    /// Whether the host may take new work.
+    /// Returns whether the host may take new work.
     pub fn may_take_new_work(&self, now: Monotonic) -> bool {
         now < self.serves_until()
     }
 
-    /// The moment from which the host takes no new work, unless it hears more; zero before the first reading.
+    /// Returns the time until which the host may take new work; later reads and answers extend it. Zero
+    /// before the first read and after [`NoteReplica::stop`].
     pub fn serves_until(&self) -> Monotonic {
         if self.head.is_none() || self.is_stopped {
             return Duration::ZERO;
         }
-        let known = self.head.iter().chain(&self.staged);
-        known
-            .map(|known| self.fresh_until(&known.terms))
+        let changes = self.head.iter().chain(&self.staged);
+        changes
+            .map(|change| self.fresh_until(&change.terms))
             .min()
             .unwrap_or_default()
     }
 
+    /// Returns until when the replica is fresh enough under `terms`.
+    ///
+    /// Two bounds hold: the freshness period since the last read or the answers of `serving` members, and the
+    /// lapse period since the last read or the answers of a majority. Without a roster for the host's region
+    /// only the read counts.
     fn fresh_until(&self, terms: &Terms) -> Monotonic {
-        let by_read = until(self.read_sent, terms.freshness());
-        let lapse_by_read = until(self.read_sent, terms.lapse());
+        let by_read = expiry(self.read_sent, terms.freshness());
+        let lapse_by_read = expiry(self.read_sent, terms.lapse());
         let Some(roster) = terms.regions.get(&self.region) else {
             return by_read;
         };
-        let by_peers = until(self.heard_from(roster, roster.serving), terms.freshness());
-        let lapse_by_peers = until(self.heard_from(roster, roster.majority()), terms.lapse());
+        let by_peers = expiry(self.answered_since(roster, roster.serving), terms.freshness());
+        let lapse_by_peers = expiry(self.answered_since(roster, roster.majority()), terms.lapse());
         by_read.max(by_peers).min(lapse_by_read.max(lapse_by_peers))
     }
 
-    /// The latest time since which `count` members have answered; the host itself answers always.
-    fn heard_from(&self, roster: &RegionRoster, count: usize) -> Option<Monotonic> {
+    /// Returns the latest time since which `count` members have answered probes. The host itself, if it is a
+    /// member, counts as always answering.
+    fn answered_since(&self, roster: &RegionRoster, count: usize) -> Option<Monotonic> {
         let is_member = roster.members.get(&self.host) == Some(&self.incarnation);
         let others = roster.members.iter().filter_map(|(host, incarnation)| {
-            let (answered, sent) = self.heard.get(host)?;
+            let (answered, sent) = self.answers.get(host)?;
             (answered == incarnation && *host != self.host).then_some(*sent)
         });
         let mut sent: Vec<_> = others.collect();
@@ -251,15 +261,15 @@
         self.head.as_ref().map_or(0, |head| head.seq)
     }
 
-    /// Moves every kept time back by a step; explorers use it to keep the number of states finite.
-    pub fn rebase(&mut self, step: Duration) {
-        let moved = |time: &mut Monotonic| *time = time.saturating_sub(step);
-        self.read_sent.iter_mut().for_each(moved);
-        self.probes.values_mut().for_each(|(_, sent)| moved(sent));
-        self.heard.values_mut().for_each(|(_, sent)| moved(sent));
+    /// Moves every stored time back by `step`. Model checkers use it to keep the number of states finite.
+    pub fn shift_times_back(&mut self, step: Duration) {
+        let shift = |time: &mut Monotonic| *time = time.saturating_sub(step);
+        self.read_sent.iter_mut().for_each(shift);
+        self.probes.values_mut().for_each(|(_, sent)| shift(sent));
+        self.answers.values_mut().for_each(|(_, sent)| shift(sent));
     }
 }
 
-fn until(since: Option<Monotonic>, age: Duration) -> Monotonic {
+fn expiry(since: Option<Monotonic>, age: Duration) -> Monotonic {
     since.map_or(Duration::ZERO, |since| since.saturating_add(age))
 }
--- a/components/notes/src/staging.rs
+++ b/components/notes/src/staging.rs
@@ -6,33 +6,33 @@
 use utils::NoteVersion;
 
 use crate::rows::{log_key, note_key, staged_key, terms_key};
-use crate::store::{Head, NoteResult, content, is_lost, value};
+use crate::store::{Head, NoteResult, content, may_have_applied, value};
 use crate::{Declared, HEAD_KEY, HeadRow, HeadSeq, LogRow, Note, NoteError, NoteStore, StagedRow, Terms};
 
-/// Notes between two snapshots.
+/// Number of notes between two snapshots.
 const NOTES_PER_SNAPSHOT: u64 = 32;
 
-/// What an operator wants to change.
+/// A change that an operator proposes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Proposal {
-    /// The note; without one only the terms change.
+    /// The note; `None` if only the terms change.
     pub note: Option<Note>,
     /// New terms, if they change.
     pub terms: Option<Terms>,
 }
 
-/// Where a note came into force; the row under the note's own id.
+/// Content of the row under a note's id: the version and change at which the note came into force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct AcceptedNote {
-    /// Version that the note made.
+    /// Version that the note produced.
     pub version: NoteVersion,
     /// Number of the change.
     pub seq: HeadSeq,
 }
 
 impl NoteStore {
-    /// Stages a change on top of a head that was read. A lost answer is resolved by reading back.
+    /// Stages a change on top of a head that was read. After a lost answer, reads the head back.
     ///
     /// # Errors
     /// [`NoteError::OtherStaged`] if another change is staged or the head has moved, [`NoteError::Platform`].
@@ -59,7 +59,7 @@
         self.write_head(tx, &row).await
     }
 
-    /// Gives up the staged change; it can not come into force any more.
+    /// Abandons the staged change, which then can not come into force any more.
     ///
     /// # Errors
     /// [`NoteError::Superseded`] if the head has moved, [`NoteError::Platform`].
@@ -81,8 +81,9 @@
         self.write_head(tx, &row).await
     }
 
-    /// Accepts the staged change, in one transaction on the head. The caller has waited for its
-    /// [`AckTracker`](crate::AckTracker). `base` is what the head declares.
+    /// Accepts the staged change in one transaction on the head row. `base` is what the head declares.
+    ///
+    /// The caller must have waited until the change's [`AckTracker`](crate::AckTracker) is ready.
     ///
     /// # Errors
     /// [`NoteError::Superseded`] if the change is not staged any more, [`NoteError::Platform`].
@@ -94,7 +95,7 @@
             Some(_) => Some(
                 self.staged_note(staged.seq)
                     .await
-                    .map_err(|e| given_up(staged, e))?,
+                    .map_err(|e| superseded_if_deleted(staged, e))?,
             ),
             None => None,
         };
@@ -118,7 +119,7 @@
         self.write_head(tx, &row).await
     }
 
-    /// Where a note came into force, read under its own id.
+    /// Reads the version and change at which a note came into force; `None` if it has not.
     ///
     /// # Errors
     /// [`NoteError::Platform`].
@@ -127,7 +128,8 @@
         row.as_ref().map(content).transpose()
     }
 
-    /// Writes the head. Tells from what stands there whether a write whose answer is lost took effect.
+    /// Writes the head row. If the answer is lost, reads the row back to find out whether the write took
+    /// effect.
     async fn write_head(&self, tx: Transaction, row: &HeadRow) -> NoteResult<Head> {
         let lost = match self.transact(tx).await {
             Ok(Committed::Applied { version }) => {
@@ -137,15 +139,15 @@
                 });
             }
             Ok(Committed::Refused { .. }) => None,
-            Err(e) if is_lost(&e) => Some(e),
+            Err(e) if may_have_applied(&e) => Some(e),
             Err(e) => return Err(e),
         };
-        let stands = self.head().await?;
-        if stands.row == *row {
-            return Ok(stands);
+        let current = self.head().await?;
+        if current.row == *row {
+            return Ok(current);
         }
-        match (lost, stands.row.staged) {
-            // The row is as it was before, or has moved since: only the caller can tell what that means.
+        match (lost, current.row.staged) {
+            // The row is unchanged or has moved since, and only the caller can tell which of the two.
             (Some(e), _) => Err(e),
             (None, Some(staged)) => Err(other_staged(&staged)),
             (None, None) => Err(Report::new(NoteError::Superseded { seq: row.last_seq })),
@@ -180,8 +182,9 @@
     tx.put(log_key(row.version), Expect::Absent, value(&log))
 }
 
-/// The note of a staged change is gone once the change is given up or accepted.
-fn given_up(staged: &StagedRow, e: Report<NoteError>) -> Report<NoteError> {
+/// Maps a missing note to [`NoteError::Superseded`]: the note's row is deleted once the change is abandoned
+/// or accepted.
+fn superseded_if_deleted(staged: &StagedRow, e: Report<NoteError>) -> Report<NoteError> {
     match e.current_context() {
         NoteError::Malformed { .. } => e.change_context(NoteError::Superseded { seq: staged.seq }),
         _ => e,
--- a/components/notes/src/state.rs
+++ b/components/notes/src/state.rs
@@ -1,13 +1,13 @@
 use serde::{Deserialize, Serialize};
 use utils::{Incarnation, NoteVersion};
 
-/// Number of a staged or accepted change of the head row; grows by one with each that is staged.
+/// Number of a staged or accepted change of the head row; increases by one with each staged change.
 ///
-/// A change is a release note, a new roster, or both. A number is never given twice, so a number that a
-/// host once saw replaced can not come into force later.
+/// A change is a release note, new terms, or both. A number is never reused, so a change that a host has seen
+/// replaced can not come into force later.
 pub type HeadSeq = u64;
 
-/// What a host knows about the release notes; carried in every heartbeat and its echo.
+/// Changes of the head row that a host holds; sent in every heartbeat and its echo.
 ///
 /// ```
 /// use notes::NoteState;
@@ -19,33 +19,33 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct NoteState {
-    /// Highest accepted change that the host knows; 0 before it has read one.
+    /// Highest accepted change that the host knows; 0 before its first read.
     pub head: HeadSeq,
-    /// Staged change whose content the host holds and obeys.
+    /// Staged change whose content the host holds and enforces.
     pub staged: Option<HeadSeq>,
-    /// Version of the last accepted note, for display.
+    /// Version of the last accepted note; for display only.
     pub version: NoteVersion,
 }
 
-/// An answer to a probe, as far as release notes are concerned.
+/// The part of a probe's answer that concerns release notes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct NoteEcho {
-    /// The nonce of the probe that is answered.
+    /// Nonce of the answered probe.
     pub nonce: u64,
-    /// Run of the process that answers.
+    /// Run of the answering process.
     pub incarnation: Incarnation,
-    /// What it knew when it answered.
+    /// Changes that the process held when it answered.
     pub state: NoteState,
 }
 
 impl NoteState {
-    /// Highest change that the host holds the content of.
+    /// Returns the highest change whose content the host holds.
     pub fn highest(&self) -> HeadSeq {
         self.staged.unwrap_or(0).max(self.head)
     }
 
-    /// Whether this host holds a change that the other does not.
+    /// Returns whether this host holds a change that the other does not.
     pub fn is_ahead_of(&self, other: &Self) -> bool {
         self.highest() > other.highest()
     }
--- a/components/notes/src/store.rs
+++ b/components/notes/src/store.rs
@@ -14,13 +14,13 @@
 use crate::{Declared, HEAD_KEY, HOST_PREFIX, HeadRow, HeadSeq, HostRow, LOG_PREFIX, LogRow};
 use crate::{Note, NoteError, Terms, apply};
 
-/// Rows in one answer to a scan.
+/// Maximum number of rows in one answer to a scan.
 const SCAN_ROWS: usize = 1_000;
 
-/// A result of this crate.
+/// Result with this crate's error.
 pub(crate) type NoteResult<T> = Result<T, Report<NoteError>>;
 
-/// The head row as it was read, with its version for conditions.
+/// The head row as it was read, with its version for conditional writes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Head {
     /// Version of the row.
@@ -29,22 +29,22 @@
     pub row: HeadRow,
 }
 
-/// The release notes in the platform's table service and object store.
+/// Access to the release notes in the platform's table service and object store.
 #[derive(Clone)]
 pub struct NoteStore {
-    /// Rows.
+    /// Table service that holds the rows.
     pub(crate) table: Arc<dyn TableService>,
-    /// Snapshots.
+    /// Object store that holds the snapshots.
     pub(crate) objects: Arc<dyn ObjectStore>,
 }
 
 impl NoteStore {
-    /// Uses a table service and an object store.
+    /// Creates a store over a table service and an object store.
     pub fn new(table: Arc<dyn TableService>, objects: Arc<dyn ObjectStore>) -> Self {
         Self { table, objects }
     }
 
-    /// The head row.
+    /// Reads the head row.
     ///
     /// # Errors
     /// [`NoteError::NoHead`] before [`NoteStore::bootstrap`], [`NoteError::Platform`].
@@ -56,7 +56,7 @@
         })
     }
 
-    /// Writes the first head row, with no notes, unless there is one. Returns the head that stands.
+    /// Writes a first head row without notes unless there is a head row. Returns the current head.
     ///
     /// # Errors
     /// [`NoteError::Platform`].
@@ -77,15 +77,15 @@
         }
     }
 
-    /// Terms that a change brought.
+    /// Reads the terms that a change introduced.
     ///
     /// # Errors
-    /// [`NoteError::Malformed`] if they are gone, [`NoteError::Platform`].
+    /// [`NoteError::Malformed`] if the row is missing, [`NoteError::Platform`].
     pub async fn terms(&self, seq: HeadSeq) -> NoteResult<Terms> {
         self.content_of(&terms_key(seq)).await
     }
 
-    /// The note of a staged change.
+    /// Reads the note of a staged change.
     ///
     /// # Errors
     /// As [`NoteStore::terms`].
@@ -93,7 +93,7 @@
         self.content_of(&staged_key(seq)).await
     }
 
-    /// Accepted notes in order, at most `limit` of those after a version.
+    /// Reads accepted notes in order, at most `limit` of those after a version.
     ///
     /// # Errors
     /// [`NoteError::Platform`].
@@ -102,7 +102,7 @@
         rows.iter().map(content).collect()
     }
 
-    /// The rows of all hosts.
+    /// Reads the rows of all hosts.
     ///
     /// # Errors
     /// [`NoteError::Platform`].
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Everything declared as of a version, from what is known already or from the newest snapshot.
+    /// Returns everything declared at a head, starting from `known` or from the newest snapshot.
     ///
     /// # Errors
     /// [`NoteError::Malformed`] if a note is missing, [`NoteError::Platform`].
@@ -164,7 +164,7 @@
             .map_err(platform_failed)
     }
 
-    /// Registers a run of a host over what stands there. A lost answer is resolved by reading back.
+    /// Registers a run of a host in place of its earlier run. After a lost answer, reads the row back.
     ///
     /// # Errors
     /// [`NoteError::Platform`].
@@ -184,13 +184,13 @@
             match self.transact(tx).await {
                 Ok(Committed::Applied { version }) => return Ok((version, host)),
                 Ok(Committed::Refused { .. }) => {}
-                Err(e) if is_lost(&e) => {}
+                Err(e) if may_have_applied(&e) => {}
                 Err(e) => return Err(e),
             }
         }
     }
 
-    /// Writes a registered host's row again. Refused once another run has registered.
+    /// Updates a registered host's row. Fails once another run has registered.
     ///
     /// # Errors
     /// [`NoteError::OtherRun`] for a newer run, [`NoteError::Platform`].
@@ -200,7 +200,7 @@
         match self.transact(tx).await {
             Ok(Committed::Applied { version }) => Ok(version),
             Ok(Committed::Refused { .. }) => self.read_back(&key, host).await,
-            Err(e) if is_lost(&e) => self.read_back(&key, host).await.map_err(|_| e),
+            Err(e) if may_have_applied(&e) => self.read_back(&key, host).await.map_err(|_| e),
             Err(e) => Err(e),
         }
     }
@@ -212,8 +212,8 @@
             })
         };
         let row = self.row(key).await?.ok_or_else(other)?;
-        let stands: HostRow = content(&row)?;
-        match stands == *host {
+        let current: HostRow = content(&row)?;
+        match current == *host {
             true => Ok(row.version),
             false => Err(other()),
         }
@@ -223,7 +223,7 @@
     ///
     /// # Errors
     /// [`NoteError::Platform`].
-    pub async fn forget_hosts(&self, hosts: &[HostId]) -> NoteResult<()> {
+    pub async fn delete_hosts(&self, hosts: &[HostId]) -> NoteResult<()> {
         let writes = hosts.iter().map(|host| Write::Delete { key: host_key(host) });
         let tx = Transaction {
             conditions: Vec::new(),
@@ -256,18 +256,18 @@
     }
 }
 
-/// Whether a call may have taken effect although it failed.
-pub(crate) fn is_lost(e: &Report<NoteError>) -> bool {
+/// Returns whether a failed call may have taken effect.
+pub(crate) fn may_have_applied(e: &Report<NoteError>) -> bool {
     matches!(e.current_context(), NoteError::Platform(e) if !e.is_without_effect())
 }
 
-/// Content of a row.
+/// Decodes the content of a row.
 pub(crate) fn content<T: DeserializeOwned>(row: &Row) -> NoteResult<T> {
     let key = row.key.clone();
     serde_json::from_value(row.value.clone()).change_context(NoteError::Malformed { key })
 }
 
-/// Content for a row; the types of this crate always have a JSON form.
+/// Encodes the content of a row; the types of this crate always have a JSON form.
 pub(crate) fn value(content: &impl Serialize) -> Value {
     serde_json::to_value(content).unwrap_or_default()
 }
--- a/components/notes/src/terms.rs
+++ b/components/notes/src/terms.rs
@@ -4,15 +4,18 @@
 use serde::{Deserialize, Serialize};
 use utils::{HostId, Incarnation, RegionId};
 
-/// What hosts and operators must agree on for a note to come into force; versioned with the head.
+/// Timing and roster that hosts and operators must agree on for a note to come into force.
+///
+/// Terms are versioned with the head row. They have nothing to do with the terms of a leader election.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Terms {
-    /// Longest age of what a host heard from another, and of its last read of the head, in milliseconds.
+    /// Freshness period in milliseconds: maximum age of a peer's answer or of the last read of the head row.
     pub freshness_ms: u64,
-    /// Age after which a host in a minority stops taking new work, in milliseconds.
+    /// Lapse period in milliseconds: age of the last read after which a host in a minority stops taking new
+    /// work.
     pub lapse_ms: u64,
-    /// Entry hosts of each region.
+    /// Roster of each region's entry hosts.
     pub regions: BTreeMap<RegionId, RegionRoster>,
 }
 
@@ -20,9 +23,10 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct RegionRoster {
-    /// Members that a host must hear, itself included, to take new work without the table service.
+    /// Number of members, itself included, whose answers a host needs to take new work without the table
+    /// service.
     pub serving: usize,
-    /// Runs of hosts by name.
+    /// Run of each member by the host's name.
     pub members: BTreeMap<HostId, Incarnation>,
 }
 
@@ -37,19 +41,19 @@
 }
 
 impl Terms {
-    /// Longest age of what a host heard.
+    /// Returns the freshness period.
     pub fn freshness(&self) -> Duration {
         Duration::from_millis(self.freshness_ms)
     }
 
-    /// Age after which a host in a minority stops taking new work.
+    /// Returns the lapse period.
     pub fn lapse(&self) -> Duration {
         Duration::from_millis(self.lapse_ms)
     }
 }
 
 impl RegionRoster {
-    /// Acknowledgements that overlap with every set of hosts that is large enough to serve.
+    /// Returns the smallest number of acknowledgements that intersects every set of `serving` members.
     ///
     /// ```
     /// let members = (0..6).map(|i| (format!("entry-{i}").into(), 1)).collect();
@@ -60,12 +64,12 @@
         (self.members.len() + 1).saturating_sub(self.serving.max(1))
     }
 
-    /// Members that a host must have heard within the lapse period.
+    /// Returns the number of members whose answers a host needs within the lapse period.
     pub fn majority(&self) -> usize {
         self.members.len() / 2 + 1
     }
 
-    /// Acknowledgements that overlap with every majority.
+    /// Returns the smallest number of acknowledgements that intersects every majority.
     pub fn lapse_quorum(&self) -> usize {
         (self.members.len() + 1).saturating_sub(self.majority())
     }
--- a/components/notes/src/values.rs
+++ b/components/notes/src/values.rs
@@ -1,7 +1,7 @@
 use crate::check::finding;
 use crate::{Deployment, Finding, PlainService, Rule, Workspace};
 
-/// Highest number of a workspace's priority.
+/// Highest allowed value of a workspace's priority.
 const MAX_PRIORITY: u8 = 9;
 
 /// Checks the values of a workspace.
@@ -47,7 +47,7 @@
     }
 }
 
-/// Checks the values of a deployment against what it was before.
+/// Checks the values of a deployment against those of its previous version.
 pub(crate) fn check_deployment(
     path: &str,
     before: Option<&Deployment>,
@@ -99,10 +99,10 @@
         findings.push(finding(path.to_owned(), "a rule that names no place", allowed));
     }
     for (i, domain) in rule.failure_domains.iter().enumerate() {
-        let is_full = domain
+        let is_qualified = domain
             .split_once('/')
             .is_some_and(|(region, domain)| !region.is_empty() && !domain.is_empty());
-        if !is_full {
+        if !is_qualified {
             let field = format!("{path}.failure_domains.{i}");
             findings.push(finding(field, format!("`{domain}`"), "region/domain"));
         }
--- a/components/notes/tests/notes/main.rs
+++ b/components/notes/tests/notes/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the release notes.
+//! Tests of release notes: schema, store, protocol and timing.
 
 mod protocol;
 mod schema;
--- a/components/notes/tests/notes/protocol.rs
+++ b/components/notes/tests/notes/protocol.rs
@@ -1,4 +1,4 @@
-//! The holder, the acceptor and the view that traffic threads ask.
+//! Tests of the replica, the acknowledgement tracker and the enforced notes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-fn reading(revision: u64, head: u64, staged: Option<u64>) -> HeadRead {
+fn head_read(revision: u64, head: u64, staged: Option<u64>) -> HeadRead {
     let terms = Arc::new(terms(&["a", "b", "c"], 2));
     let known = |seq| HeadChange {
         seq,
@@ -25,7 +25,7 @@
     }
 }
 
-fn holder() -> NoteReplica {
+fn replica() -> NoteReplica {
     NoteReplica::new("a".into(), 1, "gwynedd".into())
 }
 
@@ -43,54 +43,54 @@
 }
 
 #[test]
-fn a_host_serves_nothing_before_its_first_reading() {
-    let mut holder = holder();
-    assert!(!holder.may_take_new_work(Duration::ZERO));
-    let effects = holder.on_head_read(10 * MS, &reading(1, 1, None));
+fn a_host_takes_no_new_work_before_its_first_read() {
+    let mut replica = replica();
+    assert!(!replica.may_take_new_work(Duration::ZERO));
+    let effects = replica.on_head_read(10 * MS, &head_read(1, 1, None));
     assert_eq!(effects, [ReplicaEffect::Publish]);
-    assert!(holder.may_take_new_work(109 * MS));
-    assert!(!holder.may_take_new_work(110 * MS));
+    assert!(replica.may_take_new_work(109 * MS));
+    assert!(!replica.may_take_new_work(110 * MS));
 }
 
 #[test]
 fn peers_extend_service_from_when_their_probe_was_sent() {
-    let mut holder = holder();
-    holder.on_head_read(Duration::ZERO, &reading(1, 1, None));
-    holder.on_probe(500 * MS, "b".into(), 7);
-    assert!(holder.on_echo(&"b".into(), &echo(8, 1, None)).is_empty());
-    assert!(!holder.may_take_new_work(550 * MS));
-    holder.on_echo(&"b".into(), &echo(7, 1, None));
-    assert!(holder.may_take_new_work(599 * MS));
-    assert!(!holder.may_take_new_work(600 * MS));
+    let mut replica = replica();
+    replica.on_head_read(Duration::ZERO, &head_read(1, 1, None));
+    replica.on_probe(500 * MS, "b".into(), 7);
+    assert!(replica.on_echo(&"b".into(), &echo(8, 1, None)).is_empty());
+    assert!(!replica.may_take_new_work(550 * MS));
+    replica.on_echo(&"b".into(), &echo(7, 1, None));
+    assert!(replica.may_take_new_work(599 * MS));
+    assert!(!replica.may_take_new_work(600 * MS));
     let mut other_run = echo(9, 1, None);
     other_run.incarnation = 2;
-    holder.on_probe(700 * MS, "b".into(), 9);
-    holder.on_echo(&"b".into(), &other_run);
-    assert!(!holder.may_take_new_work(710 * MS));
+    replica.on_probe(700 * MS, "b".into(), 9);
+    replica.on_echo(&"b".into(), &other_run);
+    assert!(!replica.may_take_new_work(710 * MS));
 }
 
 #[test]
 fn a_peer_that_is_ahead_does_not_count() {
-    let mut holder = holder();
-    holder.on_head_read(Duration::ZERO, &reading(1, 1, None));
-    holder.on_probe(500 * MS, "b".into(), 7);
-    let effects = holder.on_echo(&"b".into(), &echo(7, 1, Some(2)));
+    let mut replica = replica();
+    replica.on_head_read(Duration::ZERO, &head_read(1, 1, None));
+    replica.on_probe(500 * MS, "b".into(), 7);
+    let effects = replica.on_echo(&"b".into(), &echo(7, 1, Some(2)));
     assert_eq!(effects, [ReplicaEffect::ReadHead]);
-    assert!(!holder.may_take_new_work(501 * MS));
+    assert!(!replica.may_take_new_work(501 * MS));
 }
 
 #[test]
-fn a_host_never_goes_back() {
-    let mut holder = holder();
-    holder.on_head_read(Duration::ZERO, &reading(5, 1, Some(2)));
-    assert_eq!(holder.unacknowledged(), Some(2));
-    let late = reading(4, 1, None);
-    assert!(holder.on_head_read(MS, &late).is_empty());
-    assert_eq!(holder.enforced_changes(), [1, 2]);
-    holder.on_peer_state(&echo(0, 2, None).state);
-    assert_eq!(holder.enforced_changes(), [2]);
-    assert!(holder.on_head_read(2 * MS, &reading(5, 1, Some(2))).is_empty());
-    assert_eq!(holder.state().head, 2);
+fn a_replica_ignores_reads_that_are_older_than_its_state() {
+    let mut replica = replica();
+    replica.on_head_read(Duration::ZERO, &head_read(5, 1, Some(2)));
+    assert_eq!(replica.unacknowledged(), Some(2));
+    let late = head_read(4, 1, None);
+    assert!(replica.on_head_read(MS, &late).is_empty());
+    assert_eq!(replica.enforced_changes(), [1, 2]);
+    replica.on_peer_state(&echo(0, 2, None).state);
+    assert_eq!(replica.enforced_changes(), [2]);
+    assert!(replica.on_head_read(2 * MS, &head_read(5, 1, Some(2))).is_empty());
+    assert_eq!(replica.state().head, 2);
 }
 
 #[test]
@@ -108,30 +108,30 @@
         lapse_ms: 1_000,
         regions: regions.into(),
     };
-    let mut acceptor = AckTracker::new(2, Arc::new(terms), Duration::ZERO);
+    let mut tracker = AckTracker::new(2, Arc::new(terms), Duration::ZERO);
     let mut rows: Vec<_> = ["a", "b", "d"].map(|name| host(name, 1)).into();
     rows.iter_mut().for_each(|row| row.acknowledged = 2);
     rows[2].region = "glamorgan".into();
-    acceptor.on_hosts(50 * MS, &rows);
-    let status = acceptor.status();
+    tracker.on_hosts(50 * MS, &rows);
+    let status = tracker.status();
     assert_eq!(status.ready_at, None);
     assert_eq!(status.regions["gwynedd"].ready_at, Some(150 * MS));
     assert_eq!(status.regions["glamorgan"].missing, ["e".into(), "f".into()]);
     let mut stopped = host("e", 1);
     stopped.region = "glamorgan".into();
     stopped.is_stopped = true;
-    acceptor.on_hosts(200 * MS, &[stopped]);
-    assert!(!acceptor.is_ready(299 * MS));
-    assert!(acceptor.is_ready(300 * MS));
+    tracker.on_hosts(200 * MS, &[stopped]);
+    assert!(!tracker.is_ready(299 * MS));
+    assert!(tracker.is_ready(300 * MS));
 }
 
 #[test]
 fn a_minority_does_not_block_for_longer_than_the_lapse_period() {
-    let mut acceptor = AckTracker::new(2, Arc::new(terms(&["a", "b", "c", "d"], 1)), Duration::ZERO);
+    let mut tracker = AckTracker::new(2, Arc::new(terms(&["a", "b", "c", "d"], 1)), Duration::ZERO);
     let mut rows = ["a", "b"].map(|name| host(name, 1));
     rows.iter_mut().for_each(|row| row.acknowledged = 2);
-    acceptor.on_hosts(50 * MS, &rows);
-    assert_eq!(acceptor.status().regions["gwynedd"].ready_at, Some(1_050 * MS));
+    tracker.on_hosts(50 * MS, &rows);
+    assert_eq!(tracker.status().regions["gwynedd"].ready_at, Some(1_050 * MS));
 }
 
 fn base() -> Declared {
--- a/components/notes/tests/notes/schema.rs
+++ b/components/notes/tests/notes/schema.rs
@@ -1,4 +1,4 @@
-//! Reading, checking, applying, comparing and rebasing notes.
+//! Tests of reading, checking, applying, comparing and rebasing notes.
 
 use notes::{Declared, NoteError, NoteFile, apply, conflicting_entries, diff, rebase};
 
@@ -95,8 +95,8 @@
         "id: b\nbase: 1\nadd:\n  workspaces:\n    a: {{key_digests: [{digest}]}}\n    b: {{key_digests: [{digest}]}}\n"
     );
     insta::assert_snapshot!(errors(&text), @r#"
-note.yaml:5:23: add.workspaces.a.key_digests.0 is a key that stands twice; allowed is each key once over all workspaces
-note.yaml:6:23: add.workspaces.b.key_digests.0 is a key that stands twice; allowed is each key once over all workspaces
+note.yaml:5:23: add.workspaces.a.key_digests.0 is a key that is listed twice; allowed is each key once over all workspaces
+note.yaml:6:23: add.workspaces.b.key_digests.0 is a key that is listed twice; allowed is each key once over all workspaces
 "#);
 }
 
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn disjoint_notes_are_rebased_and_others_name_the_clash() {
+fn disjoint_notes_are_rebased_and_others_get_the_conflict() {
     let parse = |text| NoteFile::parse(text, "f").unwrap().note;
     let mine = parse("id: mine\nbase: 1\nchange:\n  workspaces: {mill: {priority: 1}}\n");
     let far = parse("id: far\nbase: 1\nchange:\n  workspaces: {yard: {priority: 1}}\n");
--- a/components/notes/tests/notes/store.rs
+++ b/components/notes/tests/notes/store.rs
@@ -1,4 +1,4 @@
-//! Notes in the table: lost answers, racing operators, snapshots and the rows of hosts.
+//! Tests of the notes in the table: lost answers, racing operators, snapshots and host rows.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
@@ -7,7 +7,7 @@
 use notes::{Acceptance, NoteError, NoteReader, NoteStore, Operator, Proposal};
 use utils::SystemClock;
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 const MILL: &str = "id: mill\nbase: 0\nadd:\n  workspaces: {mill: {}}\n";
 const YARD: &str = "id: yard\nbase: 0\nadd:\n  workspaces: {yard: {}, mill: {priority: 1}}\n";
 
@@ -20,9 +20,9 @@
 
 async fn bring_into_force(store: &NoteStore, text: &str) -> Result<Acceptance, NoteError> {
     let operator = operator(store);
-    let staged = operator.stage(&note(text), PATIENCE).await;
+    let staged = operator.stage(&note(text), TIMEOUT).await;
     let (head, base) = staged.map_err(|e| e.current_context().clone())?;
-    let accepted = operator.accept(head, &base, PATIENCE, |_| {}).await;
+    let accepted = operator.accept(head, &base, TIMEOUT, |_| {}).await;
     accepted.map_err(|e| e.current_context().clone())
 }
 
@@ -46,11 +46,11 @@
 }
 
 #[test]
-fn the_second_of_two_operators_learns_the_clash() {
+fn the_second_of_two_operators_gets_the_conflict() {
     smol::block_on(async {
         let (_, store) = store();
         store.bootstrap(&terms(&["a"], 1)).await.unwrap();
-        operator(&store).stage(&note(MILL), PATIENCE).await.unwrap();
+        operator(&store).stage(&note(MILL), TIMEOUT).await.unwrap();
         let e = bring_into_force(&store, YARD).await.unwrap_err();
         insta::assert_snapshot!(e.to_string(), @"the note clashes with mill in: workspaces.mill");
         let disjoint = "id: quay\nbase: 0\nadd:\n  workspaces: {quay: {}}\n";
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn the_later_operator_learns_the_clash_after_acceptance() {
+fn the_later_operator_gets_the_conflict_after_acceptance() {
     smol::block_on(async {
         let (_, store) = store();
         store.bootstrap(&terms(&[], 1)).await.unwrap();
@@ -102,7 +102,7 @@
             store.register(host(name, 1)).await.unwrap();
         }
         let operator = operator(&store);
-        let (head, base) = operator.stage(&note(MILL), PATIENCE).await.unwrap();
+        let (head, base) = operator.stage(&note(MILL), TIMEOUT).await.unwrap();
         let short = Duration::from_millis(1);
         let waiting = operator.accept(head.clone(), &base, short, |_| {}).await.unwrap();
         let Acceptance::Waiting { status, .. } = waiting else {
@@ -115,7 +115,7 @@
             row.acknowledged = 2;
             store.update_host(revision, &row).await.unwrap();
         }
-        let accepted = operator.accept(head, &base, PATIENCE, |_| {}).await.unwrap();
+        let accepted = operator.accept(head, &base, TIMEOUT, |_| {}).await.unwrap();
         assert!(matches!(accepted, Acceptance::InForce(_)));
     });
 }
@@ -126,7 +126,7 @@
         let (_, store) = store();
         store.bootstrap(&terms(&[], 1)).await.unwrap();
         let operator = operator(&store);
-        let (head, base) = operator.stage(&note(MILL), PATIENCE).await.unwrap();
+        let (head, base) = operator.stage(&note(MILL), TIMEOUT).await.unwrap();
         store.abandon(&head).await.unwrap();
         let late = store.accept(&head, &base, SystemTime::UNIX_EPOCH).await;
         assert!(matches!(
@@ -150,9 +150,9 @@
         old.acknowledged = 9;
         let e = store.update_host(revision, &old).await.unwrap_err();
         assert!(matches!(e.current_context(), NoteError::OtherRun { .. }));
-        assert!(!new.vouches_for(1, 9));
+        assert!(!new.confirms(1, 9));
         let (_, same_address) = store.register(host("b", 1)).await.unwrap();
-        assert!(host("b", 2).register(Some(&same_address)).vouches_for(1, 9));
+        assert!(host("b", 2).register(Some(&same_address)).confirms(1, 9));
     });
 }
 
--- a/components/notes/tests/notes/support.rs
+++ b/components/notes/tests/notes/support.rs
@@ -1,4 +1,4 @@
-//! A platform in memory with faults.
+//! An in-memory platform with fault injection.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -12,29 +12,29 @@
 };
 use notes::{HostRow, NoteFile, NoteStore, RegionRoster, Terms};
 
-/// What happens to a transaction.
+/// Injected fault of a transaction.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Fault {
-    /// It works.
+    /// The transaction succeeds.
     None,
-    /// It takes effect and its answer is lost.
+    /// The transaction takes effect and its answer is lost.
     LostAfter,
-    /// It takes no effect and its answer is lost.
+    /// The transaction takes no effect and its answer is lost.
     LostBefore,
 }
 
-/// A table, objects, and faults for the next transactions.
+/// In-memory table and object store with faults for the next transactions.
 #[derive(Default)]
 pub(crate) struct Platform {
-    /// Rows.
+    /// Table with the rows.
     pub(crate) table: MemoryTable,
-    /// Objects.
+    /// Objects by key.
     pub(crate) objects: Mutex<BTreeMap<String, bytes::Bytes>>,
     /// Faults of the next transactions, in order.
     pub(crate) faults: Mutex<VecDeque<Fault>>,
-    /// Reads and scans so far.
+    /// Number of reads and scans so far.
     pub(crate) reads: AtomicUsize,
-    /// Transactions so far.
+    /// Number of transactions so far.
     pub(crate) writes: AtomicUsize,
 }
 
@@ -77,13 +77,13 @@
     }
 }
 
-/// A store over a platform in memory.
+/// Returns a store over an in-memory platform.
 pub(crate) fn store() -> (Arc<Platform>, NoteStore) {
     let platform = Arc::new(Platform::default());
     (platform.clone(), NoteStore::new(platform.clone(), platform))
 }
 
-/// Terms with one region of hosts that run as incarnation 1.
+/// Returns terms with one region whose hosts all run as incarnation 1.
 pub(crate) fn terms(hosts: &[&str], serving: usize) -> Terms {
     let members = hosts.iter().map(|host| ((*host).into(), 1)).collect();
     Terms {
@@ -93,7 +93,7 @@
     }
 }
 
-/// A host's row.
+/// Returns a host's row without acknowledgements.
 pub(crate) fn host(name: &str, incarnation: u64) -> HostRow {
     HostRow {
         host: name.into(),
@@ -106,7 +106,7 @@
     }
 }
 
-/// A note from text.
+/// Parses a note.
 pub(crate) fn note(text: &str) -> notes::Note {
     NoteFile::parse(text, "note.yaml").unwrap().note
 }
--- a/components/notes/tests/notes/timing.rs
+++ b/components/notes/tests/notes/timing.rs
@@ -1,4 +1,5 @@
-//! Time to force and calls to the table, in virtual time, over the state machines of the daemon.
+//! Simulates the daemon's state machines in virtual time, and bounds the time until a note is in force and
+//! the calls to the table.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -15,23 +16,23 @@
 use crate::support::host;
 
 const MS: Duration = Duration::from_millis(1);
-/// Time of a call to the table, there and back.
+/// Round-trip time of a call to the table.
 const ROUND_TRIP: Duration = Duration::from_millis(10);
 /// Time between two reads of the hosts' rows by the operator.
 const OPERATOR_INTERVAL: Duration = Duration::from_millis(200);
-/// Notes in a run.
+/// Number of notes in a run.
 const NOTES: u64 = 100;
-/// Reads a second that the notes may take: a quarter of two thousand.
+/// Maximum reads per second for notes: a quarter of the table's 2000.
 const READS_A_SECOND: usize = 500;
-/// Writes a second that the notes may take: a quarter of four hundred.
+/// Maximum writes per second for notes: a quarter of the table's 400.
 const WRITES_A_SECOND: usize = 100;
 
-/// Who acknowledges.
+/// Whether a roster acknowledges notes.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Mode {
-    /// No roster: reads of the table alone tell a host that it is current.
+    /// There is no roster: only reads of the table keep a host fresh.
     TableAlone,
-    /// A roster in two regions whose members acknowledge.
+    /// There is a roster in two regions, whose members acknowledge.
     Roster,
 }
 
@@ -57,15 +58,15 @@
     now: Monotonic,
     hosts: Vec<NoteReplica>,
     table: Table,
-    acceptor: Option<AckTracker>,
+    tracker: Option<AckTracker>,
     staged_at: Monotonic,
-    /// Time from staging to force at the last host, for each note.
-    forced: Vec<Duration>,
+    /// For each note, the time from staging until the last host has it as its head.
+    in_force_times: Vec<Duration>,
     queue: BinaryHeap<Reverse<(Monotonic, u64, Event)>>,
     count: u64,
     rng: ChaCha8Rng,
     terms: Arc<Terms>,
-    /// Readings by revision, as the table held them.
+    /// Content of the head row by revision.
     history: BTreeMap<u64, HeadRead>,
 }
 
@@ -102,42 +103,42 @@
             reads: BTreeMap::new(),
             writes: BTreeMap::new(),
         };
-        let holders = names
+        let replicas = names
             .iter()
             .enumerate()
             .map(|(i, name)| NoteReplica::new(name.as_str().into(), 1, region(i).into()));
         let mut run = Self {
             now: Monotonic::ZERO,
-            hosts: holders.collect(),
+            hosts: replicas.collect(),
             table,
-            acceptor: None,
+            tracker: None,
             staged_at: Monotonic::ZERO,
-            forced: Vec::new(),
+            in_force_times: Vec::new(),
             queue: BinaryHeap::new(),
             count: 0,
             rng: ChaCha8Rng::seed_from_u64(7),
             terms,
             history: BTreeMap::new(),
         };
-        run.remember();
+        run.record_revision();
         for i in 0..hosts {
-            let at = run.part_of(interval(hosts));
-            run.at(at, Event::Read(i));
+            let at = run.random_part_of(interval(hosts));
+            run.schedule(at, Event::Read(i));
         }
-        run.at(Duration::from_secs(10), Event::Stage);
+        run.schedule(Duration::from_secs(10), Event::Stage);
         run
     }
 
-    fn at(&mut self, after: Duration, event: Event) {
+    fn schedule(&mut self, after: Duration, event: Event) {
         self.count += 1;
         self.queue.push(Reverse((self.now + after, self.count, event)));
     }
 
-    fn part_of(&mut self, whole: Duration) -> Duration {
+    fn random_part_of(&mut self, whole: Duration) -> Duration {
         whole.mul_f64(self.rng.random_range(0.0..1.0))
     }
 
-    fn remember(&mut self) {
+    fn record_revision(&mut self) {
         let reading = HeadRead {
             revision: self.table.revision,
             head: self.table.head.clone(),
@@ -146,20 +147,20 @@
         self.history.insert(self.table.revision, reading);
     }
 
-    fn play(&mut self) {
-        while self.forced.len() < NOTES as usize {
+    fn run_to_end(&mut self) {
+        while self.in_force_times.len() < NOTES as usize {
             let Reverse((at, _, event)) = self.queue.pop().unwrap();
             self.now = at;
-            self.take(event);
+            self.handle(event);
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let second = self.now.as_secs();
         match event {
             Event::Read(i) => {
                 *self.table.reads.entry(second).or_default() += 1;
-                self.at(ROUND_TRIP, Event::Answer(i, self.now, self.table.revision));
+                self.schedule(ROUND_TRIP, Event::Answer(i, self.now, self.table.revision));
             }
             Event::Answer(i, sent, revision) => self.answer(i, sent, revision),
             Event::Acknowledge(i, seq) => {
@@ -168,7 +169,7 @@
                 self.hosts[i].on_acknowledged(seq);
             }
             Event::Stage => self.stage(),
-            Event::Operator => self.operate(),
+            Event::Operator => self.poll_hosts(),
         }
     }
 
@@ -177,17 +178,17 @@
         let first = self.hosts[i].unacknowledged();
         self.hosts[i].on_head_read(sent, &self.history[&revision]);
         if let Some(seq) = self.hosts[i].unacknowledged().filter(|seq| Some(*seq) != first) {
-            let spread = self.part_of(write_window(hosts as u32));
-            self.at(spread + ROUND_TRIP, Event::Acknowledge(i, seq));
+            let spread = self.random_part_of(write_window(hosts as u32));
+            self.schedule(spread + ROUND_TRIP, Event::Acknowledge(i, seq));
         }
-        let jittered = interval(hosts).mul_f64(0.9) + self.part_of(interval(hosts).mul_f64(0.2));
-        self.at(jittered, Event::Read(i));
+        let jittered = interval(hosts).mul_f64(0.9) + self.random_part_of(interval(hosts).mul_f64(0.2));
+        self.schedule(jittered, Event::Read(i));
         let head = self.table.head.seq;
-        let is_forced = self.hosts.iter().all(|host| host.state().head == head);
-        if is_forced && self.table.staged.is_none() && self.forced.len() as u64 + 2 == head {
-            self.forced.push(self.now - self.staged_at);
-            let pause = self.part_of(Duration::from_secs(3));
-            self.at(pause, Event::Stage);
+        let is_in_force = self.hosts.iter().all(|host| host.state().head == head);
+        if is_in_force && self.table.staged.is_none() && self.in_force_times.len() as u64 + 2 == head {
+            self.in_force_times.push(self.now - self.staged_at);
+            let pause = self.random_part_of(Duration::from_secs(3));
+            self.schedule(pause, Event::Stage);
         }
     }
 
@@ -200,32 +201,33 @@
             terms: self.terms.clone(),
         });
         self.table.revision += 1;
-        self.remember();
+        self.record_revision();
         self.staged_at = self.now;
-        self.acceptor = Some(AckTracker::new(seq, self.terms.clone(), self.now + ROUND_TRIP));
-        self.at(ROUND_TRIP, Event::Operator);
+        self.tracker = Some(AckTracker::new(seq, self.terms.clone(), self.now + ROUND_TRIP));
+        self.schedule(ROUND_TRIP, Event::Operator);
     }
 
-    fn operate(&mut self) {
+    fn poll_hosts(&mut self) {
         *self.table.reads.entry(self.now.as_secs()).or_default() += 1;
-        let acceptor = self.acceptor.as_mut().unwrap();
-        acceptor.on_hosts(self.now, &self.table.rows);
-        if !acceptor.is_ready(self.now) {
-            return self.at(OPERATOR_INTERVAL, Event::Operator);
+        let tracker = self.tracker.as_mut().unwrap();
+        tracker.on_hosts(self.now, &self.table.rows);
+        if !tracker.is_ready(self.now) {
+            return self.schedule(OPERATOR_INTERVAL, Event::Operator);
         }
         *self.table.writes.entry(self.now.as_secs()).or_default() += 1;
         self.table.head = self.table.staged.take().unwrap();
         self.table.revision += 1;
-        self.remember();
+        self.record_revision();
     }
 }
 
-/// Time between two reads of the head, as the daemon takes it.
+/// Returns the daemon's time between two reads of the head row.
 fn interval(hosts: usize) -> Duration {
     head_interval(500 * MS, hosts as u32)
 }
 
-/// With a roster heartbeats keep hosts current; without one a host must read the head three times.
+/// Returns the freshness period in milliseconds. With a roster, heartbeats keep hosts fresh; without one, the
+/// period must span three reads of the head row.
 fn freshness(hosts: usize, mode: Mode) -> u64 {
     match mode {
         Mode::Roster => 1_000,
@@ -233,17 +235,18 @@
     }
 }
 
-/// The p99 of the time to force, in milliseconds.
+/// Runs the simulation, checks the call rates and returns the p99 of the time until a note is in force, in
+/// milliseconds.
 fn measure(hosts: usize, mode: Mode) -> u128 {
     let mut run = Run::new(hosts, mode);
-    run.play();
-    run.forced.sort_unstable();
-    let at = |share: usize| run.forced[run.forced.len() * share / 100].as_millis();
+    run.run_to_end();
+    run.in_force_times.sort_unstable();
+    let at = |share: usize| run.in_force_times[run.in_force_times.len() * share / 100].as_millis();
     let reads = run.table.reads.values().max().copied().unwrap_or_default();
     let writes = run.table.writes.values().max().copied().unwrap_or_default();
     let all: usize = run.table.writes.values().sum();
     println!(
-        "{mode:?} {hosts} hosts: time to force p50 {} ms, p99 {} ms; writes a note {}, most in a second {writes}; most reads in a second {reads}",
+        "{mode:?} {hosts} hosts: time until in force p50 {} ms, p99 {} ms; writes per note {}, maximum per second {writes}; maximum reads per second {reads}",
         at(50),
         at(99),
         all / NOTES as usize
--- a/specs/src/notes/mod.rs
+++ b/specs/src/notes/mod.rs
@@ -1,7 +1,8 @@
 //! Release notes: an accepted note is obeyed by every host that takes new work.
 //!
 //! The processes run [`notes::NoteReplica`], the operator runs [`notes::AckTracker`]; only the network, the
-//! table's rows and the time stand here. A step of time moves every kept time back, so time itself has no end.
+//! table's rows and the time stand here. A step of time moves every kept time back, so time itself has no
+//! end.
 
 mod bounds;
 mod state;
--- a/specs/src/notes/state.rs
+++ b/specs/src/notes/state.rs
@@ -77,10 +77,10 @@
         self.holders
             .iter_mut()
             .flatten()
-            .for_each(|holder| holder.rebase(TICK));
+            .for_each(|holder| holder.shift_times_back(TICK));
         self.acceptor
             .iter_mut()
-            .for_each(|acceptor| acceptor.rebase(TICK));
+            .for_each(|acceptor| acceptor.shift_times_back(TICK));
         for answer in self.reads.iter_mut().flatten() {
             answer.sent = answer.sent.saturating_sub(TICK);
         }
