--- a/components/entry/src/cache.rs
+++ b/components/entry/src/cache.rs
@@ -23,7 +23,7 @@
 }
 
 /// Names of the full pieces of a prompt of one workspace, for the weights that will run it.
-pub(crate) fn name_pieces(
+pub(crate) fn piece_ids(
     secret: &Digest,
     workspace: &str,
     model: &str,
--- a/components/entry/src/claims.rs
+++ b/components/entry/src/claims.rs
@@ -14,7 +14,7 @@
 use crate::EntryError;
 
 /// Age after which a claim's holder has ended its call, whether it lives or not; allows for clocks that differ.
-const OLDEST_OPEN_CLAIM: Duration = Duration::from_secs(120);
+const MAX_CLAIM_AGE: Duration = Duration::from_secs(120);
 
 /// Entry hosts that the platform lists; those that leave finish what they have.
 pub(crate) type LiveHosts = Arc<ArcSwap<HashSet<HostId>>>;
@@ -71,6 +71,6 @@
         }
         let since = self.clock.wall().duration_since(UNIX_EPOCH).unwrap_or_default();
         let age = since.saturating_sub(Duration::from_millis(row.claimed_at_ms));
-        age < OLDEST_OPEN_CLAIM && self.listed.load().contains(&row.holder.host)
+        age < MAX_CLAIM_AGE && self.listed.load().contains(&row.holder.host)
     }
 }
--- a/components/entry/src/control/mod.rs
+++ b/components/entry/src/control/mod.rs
@@ -25,7 +25,7 @@
 use crate::observe::Observation;
 use crate::operators;
 use crate::outcomes::Records;
-use crate::quarantine::News;
+use crate::quarantine::TableCommand;
 use crate::shared::Shared;
 use ::peers::{Arrived, Transport};
 use kept::KeptCache;
@@ -54,7 +54,7 @@
     /// Writes claims and settlements.
     pub writer: LedgerWriter,
     /// Rows of requests that were aboard crashes.
-    pub news: async_channel::Receiver<News>,
+    pub news: async_channel::Receiver<TableCommand>,
     /// Connections to other entry hosts and what arrives over them; `None` without keys.
     pub peers: Option<(Transport, async_channel::Receiver<Arrived>)>,
 }
--- a/components/entry/src/control/poll.rs
+++ b/components/entry/src/control/poll.rs
@@ -69,7 +69,7 @@
     loop {
         let report = engine.load().await.ok();
         if let Some(report) = &report {
-            shared.suspects.note_incarnation(&id, report.incarnation);
+            shared.suspects.record_incarnation(&id, report.incarnation);
         }
         if tx.send(Input::Load(id.clone(), report)).await.is_err() {
             return;
--- a/components/entry/src/control/state.rs
+++ b/components/entry/src/control/state.rs
@@ -143,8 +143,8 @@
                 self.kept.prefilled(&prompt, &self.engines, now);
             }
             Observation::FetchStarted { store } => self.kept.fetch_started(*store, &self.engines, now),
-            Observation::FetchEnded { store, is_whole } => {
-                self.kept.fetch_ended(*store, *is_whole, &self.engines, now);
+            Observation::FetchEnded { store, is_complete } => {
+                self.kept.fetch_ended(*store, *is_complete, &self.engines, now);
             }
             Observation::Ended { key } => {
                 if let Some(candidate) = self.engines.targets.get_mut(*key) {
@@ -261,7 +261,7 @@
         let entry_hosts = self.list.iter().filter(|h| h.role == HostRole::Entry).count();
         let view = View {
             declared: self.obeyed.declared().clone(),
-            obeyed: self.obeyed.clone(),
+            enforced: self.obeyed.clone(),
             placement: self.engines.clone(),
             services: services.map(service_target).collect(),
             entry_hosts: u32::try_from(entry_hosts).unwrap_or(u32::MAX),
--- a/components/entry/src/control/suspects.rs
+++ b/components/entry/src/control/suspects.rs
@@ -14,7 +14,7 @@
 use utils::TargetId;
 
 use super::poll::{Health, jittered};
-use crate::quarantine::{LONGEST_TRY, News};
+use crate::quarantine::{MAX_ATTEMPT_TIME, TableCommand};
 use crate::shared::Shared;
 
 /// Start of the key of every row.
@@ -80,21 +80,21 @@
 }
 
 impl Batch {
-    fn add(&mut self, news: News) {
+    fn add(&mut self, news: TableCommand) {
         match news {
-            News::Merge { rows, done } => {
+            TableCommand::Merge { rows, done } => {
                 for (request, suspicion) in rows {
                     self.removals.remove(&request);
                     self.merges.entry(request).or_default().merge(&suspicion);
                 }
                 self.waiting.push(done);
             }
-            News::Remove(request) => {
+            TableCommand::Remove(request) => {
                 self.merges.remove(&request);
                 self.removals.insert(request);
             }
-            News::Claim { target, id, done } => self.claims.push((target, id, done)),
-            News::Release { target, id } => {
+            TableCommand::Claim { target, id, done } => self.claims.push((target, id, done)),
+            TableCommand::Release { target, id } => {
                 self.claims.retain(|(_, other, _)| *other != id);
                 self.releases.insert((target, id));
             }
@@ -198,7 +198,7 @@
         let Some(found) = row.and_then(parse_target) else {
             return true;
         };
-        let is_expired = now.saturating_sub(found.claimed_at) >= LONGEST_TRY.as_secs();
+        let is_expired = now.saturating_sub(found.claimed_at) >= MAX_ATTEMPT_TIME.as_secs();
         let is_own = found.id == *id;
         is_expired || is_own || self.releases.contains(&(target.clone(), found.id))
     }
@@ -208,7 +208,7 @@
 pub(crate) async fn write(
     shared: Arc<Shared>,
     table: Arc<HttpPlatform>,
-    news: async_channel::Receiver<News>,
+    news: async_channel::Receiver<TableCommand>,
 ) {
     let mut health = Health::new(&shared, "suspects");
     while let Ok(first) = news.recv().await {
@@ -232,7 +232,7 @@
 fn finish(shared: &Shared, batch: &Batch, written: &Written) {
     let now = shared.clock.now();
     for (request, suspicion) in &written.rows {
-        shared.suspects.register().merge(*request, suspicion, now);
+        shared.suspects.quarantine().merge(*request, suspicion, now);
     }
     for request in &batch.removals {
         forget(shared, request);
@@ -286,7 +286,7 @@
     for row in rows {
         let request = row.key.strip_prefix(PREFIX).and_then(|text| text.parse().ok());
         if let (Some(request), Some(row)) = (request, parse(row)) {
-            shared.suspects.register().merge(request, &row.suspicion, now);
+            shared.suspects.quarantine().merge(request, &row.suspicion, now);
             found.insert(request);
         }
     }
@@ -297,7 +297,7 @@
 }
 
 fn forget(shared: &Shared, request: &Fingerprint) {
-    shared.suspects.register().forget(request);
+    shared.suspects.quarantine().forget(request);
     info!(shared.log, "request cleared"; events::REQUEST_CLEARED, "fingerprint" => %request);
 }
 
--- a/components/entry/src/daemon.rs
+++ b/components/entry/src/daemon.rs
@@ -21,8 +21,8 @@
 use crate::metrics::Metrics;
 use crate::observe::Observer;
 use crate::outcomes::Outcomes;
-use crate::quarantine::{News, Suspects};
-use crate::resume::Sealer;
+use crate::quarantine::{Suspects, TableCommand};
+use crate::resume::TokenSigner;
 use crate::retries::Retries;
 use crate::shared::Shared;
 use crate::traffic;
@@ -68,7 +68,7 @@
         let (observer, observations) = Observer::new();
         let (outcomes, records) = Outcomes::new();
         let ex: Executor = Arc::new(smol::Executor::new());
-        let (shared, writer, news) = build_shared(settings, log, observer, outcomes, &ex)?;
+        let (shared, writer, commands) = build_shared(settings, log, observer, outcomes, &ex)?;
         let shared = Arc::new(shared);
         let peers = control::open_peers(&shared, ex.clone()).change_context(EntryError::Peers)?;
         let addresses = Addresses {
@@ -85,7 +85,7 @@
                 observations,
                 records,
                 writer,
-                news,
+                news: commands,
                 peers,
             };
             move || control::run(shared, operators, inputs, control_stopped, ex)
@@ -152,7 +152,7 @@
     observer: Observer,
     outcomes: Outcomes,
     ex: &Executor,
-) -> Result<(Shared, LedgerWriter, async_channel::Receiver<News>), Report<EntryError>> {
+) -> Result<(Shared, LedgerWriter, async_channel::Receiver<TableCommand>), Report<EntryError>> {
     let cache: Arc<CacheCell> = Arc::default();
     let log = log.new(o!("host" => settings.host.id.to_string()));
     let clock: Arc<dyn Clock> = Arc::new(SystemClock::new());
@@ -166,7 +166,7 @@
         ex,
         log.clone(),
     )?;
-    let (suspects, news) = Suspects::new(&settings, incarnation);
+    let (suspects, commands) = Suspects::new(&settings, incarnation);
     let shared = Shared {
         incarnation,
         clock,
@@ -181,14 +181,14 @@
         gate: NoteGate::default(),
         placer: Arc::new(CacheAware::new(cache.clone())),
         cache,
-        sealer: Sealer::new(settings.secrets.resume),
+        token_signer: TokenSigner::new(settings.secrets.resume),
         observer,
         outcomes,
         draining: AtomicBool::new(false),
         open_streams: AtomicUsize::new(0),
         settings,
     };
-    Ok((shared, writer, news))
+    Ok((shared, writer, commands))
 }
 
 /// The run of this process: grows with each start of the same host.
--- a/components/entry/src/limits.rs
+++ b/components/entry/src/limits.rs
@@ -9,13 +9,13 @@
 use utils::{Monotonic, WorkspaceId};
 
 /// Parts of the table of accounts; requests of different workspaces rarely meet in one.
-const PARTS: usize = 32;
+const SHARD_COUNT: usize = 32;
 /// Seconds of its rate that a workspace may use at once.
 const BURST_SECONDS: f64 = 1.0;
 /// Weight of earlier periods in the demand that is reported.
-const DEMAND_KEEP: f64 = 0.5;
+const DEMAND_HISTORY_WEIGHT: f64 = 0.5;
 /// Demand below this is not reported, in requests a second.
-const SMALLEST_DEMAND: f64 = 0.01;
+const MIN_DEMAND: f64 = 0.01;
 
 /// What a workspace asked of a host lately, a second.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 pub(crate) struct Limiter {
     /// Accounts by workspace.
-    parts: Vec<Mutex<HashMap<WorkspaceId, Account>>>,
+    shards: Vec<Mutex<HashMap<WorkspaceId, Account>>>,
     /// Chooses the part.
     hasher: RandomState,
 }
@@ -71,13 +71,13 @@
     /// The limits that the parts are taken of.
     limits: Limits,
     /// This host's part of the limits.
-    part: DemandRates,
+    share: DemandRates,
 }
 
 impl Default for Limiter {
     fn default() -> Self {
         Self {
-            parts: (0..PARTS).map(|_| Mutex::default()).collect(),
+            shards: (0..SHARD_COUNT).map(|_| Mutex::default()).collect(),
             hasher: RandomState::new(),
         }
     }
@@ -93,7 +93,7 @@
         hosts: u32,
         now: Monotonic,
     ) -> Result<AccountGuard, OverLimit> {
-        let mut accounts = self.part_of(workspace);
+        let mut accounts = self.shard_of(workspace);
         let account = accounts
             .entry(workspace.clone())
             .or_insert_with(|| Account::new(workspace, *limits, hosts, now));
@@ -112,49 +112,49 @@
         now: Monotonic,
     ) -> Vec<(WorkspaceTag, DemandRates)> {
         let mut demand = Vec::new();
-        for part in &self.parts {
-            let mut accounts = lock(part);
+        for shard in &self.shards {
+            let mut accounts = lock(shard);
             accounts.retain(|_, account| {
                 let tag = account.tag;
                 let reported = reports.iter().map(|of| of.get(&tag).copied().unwrap_or_default());
                 let own = account.end_period(reported, hosts, now);
-                if own.requests >= SMALLEST_DEMAND {
+                if own.requests >= MIN_DEMAND {
                     demand.push((tag, own));
                 }
-                own.requests >= SMALLEST_DEMAND || account.open > 0
+                own.requests >= MIN_DEMAND || account.open > 0
             });
         }
         demand
     }
 
-    fn part_of(&self, workspace: &WorkspaceId) -> MutexGuard<'_, HashMap<WorkspaceId, Account>> {
-        let number = self.hasher.hash_one(workspace) as usize % PARTS;
-        lock(&self.parts[number])
+    fn shard_of(&self, workspace: &WorkspaceId) -> MutexGuard<'_, HashMap<WorkspaceId, Account>> {
+        let index = self.hasher.hash_one(workspace) as usize % SHARD_COUNT;
+        lock(&self.shards[index])
     }
 }
 
 impl Account {
     /// An account of a workspace that no host has reported: each host takes an equal part.
     fn new(workspace: &str, limits: Limits, hosts: u32, now: Monotonic) -> Self {
-        let share = 1.0 / f64::from(hosts.max(1));
-        let part = DemandRates {
-            requests: limits.requests_per_second * share,
-            tokens: limits.prompt_tokens_per_second * share,
+        let fraction = 1.0 / f64::from(hosts.max(1));
+        let share = DemandRates {
+            requests: limits.requests_per_second * fraction,
+            tokens: limits.prompt_tokens_per_second * fraction,
         };
         Self {
             tag: WorkspaceTag::of(workspace),
-            requests: TokenBucket::new(part.requests, burst(part.requests), now),
-            tokens: TokenBucket::new(part.tokens, burst(part.tokens), now),
+            requests: TokenBucket::new(share.requests, burst(share.requests), now),
+            tokens: TokenBucket::new(share.tokens, burst(share.tokens), now),
             requests_offered: DemandMeter::new(now),
             tokens_offered: DemandMeter::new(now),
             open: 0,
             limits,
-            part,
+            share,
         }
     }
 
     fn admit(&mut self, limits: &Limits, prompt_tokens: u32, now: Monotonic) -> Result<(), OverLimit> {
-        self.follow(limits, now);
+        self.apply_limits(limits, now);
         self.requests_offered.offer(1.0);
         self.tokens_offered.offer(f64::from(prompt_tokens));
         if self.open >= self.open_limit() {
@@ -169,14 +169,14 @@
     }
 
     /// Takes over limits that a release note changed, at the part that this host had.
-    fn follow(&mut self, limits: &Limits, now: Monotonic) {
+    fn apply_limits(&mut self, limits: &Limits, now: Monotonic) {
         if self.limits == *limits {
             return;
         }
-        let requests = self.part.requests / self.limits.requests_per_second.max(f64::MIN_POSITIVE);
-        let tokens = self.part.tokens / self.limits.prompt_tokens_per_second.max(f64::MIN_POSITIVE);
+        let requests = self.share.requests / self.limits.requests_per_second.max(f64::MIN_POSITIVE);
+        let tokens = self.share.tokens / self.limits.prompt_tokens_per_second.max(f64::MIN_POSITIVE);
         self.limits = *limits;
-        self.set_part(
+        self.set_share(
             DemandRates {
                 requests: requests.min(1.0) * limits.requests_per_second,
                 tokens: tokens.min(1.0) * limits.prompt_tokens_per_second,
@@ -192,52 +192,52 @@
         now: Monotonic,
     ) -> DemandRates {
         let own = DemandRates {
-            requests: self.requests_offered.report(DEMAND_KEEP, now),
-            tokens: self.tokens_offered.report(DEMAND_KEEP, now),
+            requests: self.requests_offered.report(DEMAND_HISTORY_WEIGHT, now),
+            tokens: self.tokens_offered.report(DEMAND_HISTORY_WEIGHT, now),
         };
         // Without any report the load is taken to be spread evenly, as a new account does.
-        let heard = reported.clone().count();
-        if heard > 0 || hosts <= 1 {
-            let others = f64::from(hosts.saturating_sub(1)) / heard.max(1) as f64;
+        let report_count = reported.clone().count();
+        if report_count > 0 || hosts <= 1 {
+            let others = f64::from(hosts.saturating_sub(1)) / report_count.max(1) as f64;
             let sum = |of: fn(&DemandRates) -> f64| others * reported.clone().map(|r| of(&r)).sum::<f64>();
-            let part = DemandRates {
-                requests: part_of(self.limits.requests_per_second, own.requests, sum(|r| r.requests)),
-                tokens: part_of(
+            let share = DemandRates {
+                requests: share_of_limit(self.limits.requests_per_second, own.requests, sum(|r| r.requests)),
+                tokens: share_of_limit(
                     self.limits.prompt_tokens_per_second,
                     own.tokens,
                     sum(|r| r.tokens),
                 ),
             };
-            self.set_part(part, now);
+            self.set_share(share, now);
         }
         own
     }
 
-    fn set_part(&mut self, part: DemandRates, now: Monotonic) {
-        self.requests.set(part.requests, burst(part.requests), now);
-        self.tokens.set(part.tokens, burst(part.tokens), now);
-        self.part = part;
+    fn set_share(&mut self, share: DemandRates, now: Monotonic) {
+        self.requests.set(share.requests, burst(share.requests), now);
+        self.tokens.set(share.tokens, burst(share.tokens), now);
+        self.share = share;
     }
 
     /// This host's part of the streams that may be open, at least one.
     fn open_limit(&self) -> u32 {
-        let share = self.part.requests / self.limits.requests_per_second.max(f64::MIN_POSITIVE);
-        let part = share.min(1.0) * f64::from(self.limits.open_streams);
-        (part.ceil() as u32).max(1).min(self.limits.open_streams)
+        let fraction = self.share.requests / self.limits.requests_per_second.max(f64::MIN_POSITIVE);
+        let limit = fraction.min(1.0) * f64::from(self.limits.open_streams);
+        (limit.ceil() as u32).max(1).min(self.limits.open_streams)
     }
 }
 
 impl Drop for AccountGuard {
     fn drop(&mut self) {
-        if let Some(account) = self.limiter.part_of(&self.workspace).get_mut(&self.workspace) {
+        if let Some(account) = self.limiter.shard_of(&self.workspace).get_mut(&self.workspace) {
             account.open = account.open.saturating_sub(1);
         }
     }
 }
 
-/// This host's part of a limit, by its own demand and that of all other hosts. The hosts that were heard
+/// This host's part of a limit, by its own demand and that of all other hosts. The hosts that reported
 /// stand for those that were not, so that the cost does not grow with the number of hosts.
-fn part_of(limit: f64, own: f64, others: f64) -> f64 {
+fn share_of_limit(limit: f64, own: f64, others: f64) -> f64 {
     if others > 0.0 {
         rate_share(limit, own, [own, others])
     } else {
@@ -250,8 +250,8 @@
     (rate * BURST_SECONDS).max(1.0)
 }
 
-fn lock(part: &Mutex<HashMap<WorkspaceId, Account>>) -> MutexGuard<'_, HashMap<WorkspaceId, Account>> {
-    part.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(shard: &Mutex<HashMap<WorkspaceId, Account>>) -> MutexGuard<'_, HashMap<WorkspaceId, Account>> {
+    shard.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 #[cfg(test)]
@@ -265,7 +265,7 @@
     };
 
     /// Requests that hosts admit in ten seconds when each is offered its number of requests a second.
-    fn admitted(offered: &[u32], told: bool) -> usize {
+    fn admitted(offered: &[u32], with_reports: bool) -> usize {
         let workspace: WorkspaceId = "mill".into();
         let limiters: Vec<_> = offered.iter().map(|_| Arc::new(Limiter::default())).collect();
         let hosts = offered.len() as u32;
@@ -280,7 +280,10 @@
                 }
             }
             for (i, limiter) in limiters.iter().enumerate() {
-                let others = reports.iter().enumerate().filter(|(j, _)| told && *j != i);
+                let others = reports
+                    .iter()
+                    .enumerate()
+                    .filter(|(j, _)| with_reports && *j != i);
                 let others: Vec<_> = others.map(|(_, report)| report).collect();
                 let own = limiter.end_period(&others, hosts, Duration::from_secs(second + 1));
                 reports[i] = own.into_iter().collect();
--- a/components/entry/src/metrics.rs
+++ b/components/entry/src/metrics.rs
@@ -47,7 +47,7 @@
         })
     }
 
-    pub(crate) fn request(&self, kind: &'static str, outcome: Outcome) {
+    pub(crate) fn record_request(&self, kind: &'static str, outcome: Outcome) {
         let labels = [
             KeyValue::new("kind", kind),
             KeyValue::new("outcome", outcome.as_str()),
@@ -55,15 +55,15 @@
         self.requests.add(1, &labels);
     }
 
-    pub(crate) fn attempt(&self, result: &'static str) {
+    pub(crate) fn record_attempt(&self, result: &'static str) {
         self.attempts.add(1, &[KeyValue::new("result", result)]);
     }
 
-    pub(crate) fn first_token(&self, after: Duration) {
+    pub(crate) fn record_first_token(&self, after: Duration) {
         self.first_token.record(after.as_secs_f64(), &[]);
     }
 
-    pub(crate) fn tokens(&self, count: u64) {
+    pub(crate) fn record_tokens(&self, count: u64) {
         self.tokens.add(count, &[]);
     }
 
--- a/components/entry/src/observe.rs
+++ b/components/entry/src/observe.rs
@@ -40,7 +40,7 @@
         /// Address of the store.
         store: SocketAddr,
         /// Whether the target has the piece now.
-        is_whole: bool,
+        is_complete: bool,
     },
     /// A draft is no longer open at a target.
     Ended {
@@ -77,7 +77,7 @@
         )
     }
 
-    pub(crate) fn tell(&self, observation: Observation) {
+    pub(crate) fn send(&self, observation: Observation) {
         if self.tx.try_send(observation).is_err() {
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
--- a/components/entry/src/operators.rs
+++ b/components/entry/src/operators.rs
@@ -98,7 +98,7 @@
         .ok()
         .and_then(|id| shared.outcomes.get(id));
     match found {
-        Some(remembered) => json(&remembered),
+        Some(record) => json(&record),
         None => text(404, "text/plain", "this host does not remember the request\n"),
     }
 }
@@ -110,7 +110,7 @@
         incarnation: format!("{:016x}", shared.incarnation),
         note_version: view.declared.version,
         serving: shared.serving(&view),
-        staged: view.obeyed.state().staged,
+        staged: view.enforced.state().staged,
         draining: shared.is_draining(),
         open_streams: shared.open_streams.load(std::sync::atomic::Ordering::Acquire),
         engines: view
--- a/components/entry/src/quarantine.rs
+++ b/components/entry/src/quarantine.rs
@@ -9,15 +9,15 @@
 use utils::{Digest, HostId, Incarnation, TargetId, WorkspaceId};
 
 /// Time after which a suspect's try that was not reported no longer keeps equal requests waiting.
-pub(crate) const LONGEST_TRY: Duration = Duration::from_secs(60);
-/// News that wait for the control thread.
+pub(crate) const MAX_ATTEMPT_TIME: Duration = Duration::from_secs(60);
+/// Commands that wait for the control thread.
 const QUEUE_LENGTH: usize = 4_096;
 /// Scans of the table that fit into the time for which a failure is held back.
-const SCANS_BEFORE_TOLD: f64 = 1.5;
+const SCANS_UNTIL_VISIBLE: f64 = 1.5;
 
 /// What the control thread brings to the table service.
 #[derive(Debug)]
-pub(crate) enum News {
+pub(crate) enum TableCommand {
     /// Rows to merge, and who waits for what the table holds then.
     Merge {
         /// The rows.
@@ -68,32 +68,32 @@
     /// Name of this host.
     host: HostId,
     /// Time from a written row until every host that reads the table knows it.
-    pub time_to_spread: Duration,
+    pub propagation_time: Duration,
     /// Gives permits.
-    register: Mutex<Quarantine>,
+    quarantine: Mutex<Quarantine>,
     /// Last known run of each target's process.
     incarnations: Mutex<HashMap<TargetId, Incarnation>>,
     /// Number of the next try; starts at random, so that a restarted host does not use a number again.
-    next_try: AtomicU64,
+    next_attempt: AtomicU64,
     /// To the control thread.
-    news: async_channel::Sender<News>,
+    commands: async_channel::Sender<TableCommand>,
 }
 
 impl Suspects {
     pub(crate) fn new(
         settings: &Settings,
         incarnation: Incarnation,
-    ) -> (Self, async_channel::Receiver<News>) {
-        let (news, rx) = async_channel::bounded(QUEUE_LENGTH);
+    ) -> (Self, async_channel::Receiver<TableCommand>) {
+        let (commands, rx) = async_channel::bounded(QUEUE_LENGTH);
         let scan_interval = Duration::from_millis(settings.platform.head_interval_ms);
         let suspects = Self {
             key: settings.secrets.pieces,
             host: settings.host.id.clone(),
-            time_to_spread: scan_interval.mul_f64(SCANS_BEFORE_TOLD),
-            register: Mutex::new(Quarantine::new(LONGEST_TRY)),
+            propagation_time: scan_interval.mul_f64(SCANS_UNTIL_VISIBLE),
+            quarantine: Mutex::new(Quarantine::new(MAX_ATTEMPT_TIME)),
             incarnations: Mutex::default(),
-            next_try: AtomicU64::new(incarnation),
-            news,
+            next_attempt: AtomicU64::new(incarnation),
+            commands,
         };
         (suspects, rx)
     }
@@ -104,19 +104,19 @@
     }
 
     /// Names a new try of this host.
-    pub(crate) fn new_try(&self) -> TryId {
+    pub(crate) fn new_attempt_id(&self) -> TryId {
         TryId {
             host: self.host.clone(),
-            number: self.next_try.fetch_add(1, Ordering::Relaxed),
+            number: self.next_attempt.fetch_add(1, Ordering::Relaxed),
         }
     }
 
-    pub(crate) fn register(&self) -> MutexGuard<'_, Quarantine> {
-        self.register.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn quarantine(&self) -> MutexGuard<'_, Quarantine> {
+        self.quarantine.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Notes which process answers at a target.
-    pub(crate) fn note_incarnation(&self, target: &TargetId, incarnation: Incarnation) {
+    pub(crate) fn record_incarnation(&self, target: &TargetId, incarnation: Incarnation) {
         self.incarnations().insert(target.clone(), incarnation);
     }
 
@@ -130,36 +130,36 @@
     }
 
     /// Hands rows to the control thread. The receiver is told what the table holds once they are written.
-    pub(crate) fn spread(
+    pub(crate) fn merge_rows(
         &self,
         rows: Vec<(Fingerprint, Suspicion)>,
     ) -> async_channel::Receiver<Vec<(Fingerprint, Suspicion)>> {
         let (done, written) = async_channel::bounded(1);
-        let _ = self.news.try_send(News::Merge { rows, done });
+        let _ = self.commands.try_send(TableCommand::Merge { rows, done });
         written
     }
 
     /// Asks for a target, alone among the suspects of all hosts.
     pub(crate) fn claim(&self, target: TargetId, id: TryId) -> async_channel::Receiver<bool> {
         let (done, granted) = async_channel::bounded(1);
-        let _ = self.news.try_send(News::Claim { target, id, done });
+        let _ = self.commands.try_send(TableCommand::Claim { target, id, done });
         granted
     }
 
     /// Gives a target back.
     pub(crate) fn release(&self, target: TargetId, id: TryId) {
-        let _ = self.news.try_send(News::Release { target, id });
+        let _ = self.commands.try_send(TableCommand::Release { target, id });
     }
 
     /// Removes a row, which clears the request at every host; false if too much waits.
     pub(crate) fn clear(&self, request: Fingerprint) -> bool {
-        self.news.try_send(News::Remove(request)).is_ok()
+        self.commands.try_send(TableCommand::Remove(request)).is_ok()
     }
 
     /// What operators see.
     pub(crate) fn states(&self) -> Vec<SuspectState> {
-        let register = self.register();
-        let states = register.suspects().map(|(request, suspicion)| SuspectState {
+        let quarantine = self.quarantine();
+        let states = quarantine.suspects().map(|(request, suspicion)| SuspectState {
             fingerprint: *request,
             crashes: suspicion.crash_count(),
             targets: suspicion.crashes.iter().map(|c| c.target.clone()).collect(),
--- a/components/entry/src/resume.rs
+++ b/components/entry/src/resume.rs
@@ -21,7 +21,7 @@
     Forged,
     /// The token belongs to another workspace.
     #[error("the token belongs to another workspace")]
-    Foreign,
+    WrongWorkspace,
     /// The token is too old.
     #[error("the token has expired")]
     Expired,
@@ -55,18 +55,18 @@
 
 /// Makes and checks resume tokens.
 #[derive(Debug, Clone)]
-pub(crate) struct Sealer {
+pub(crate) struct TokenSigner {
     /// Key of the BLAKE3 tags.
     key: Digest,
 }
 
-impl Sealer {
+impl TokenSigner {
     pub(crate) fn new(key: Digest) -> Self {
         Self { key }
     }
 
     /// The token of a point.
-    pub(crate) fn seal(&self, point: &ResumePoint) -> String {
+    pub(crate) fn sign(&self, point: &ResumePoint) -> String {
         let mut bytes = postcard::to_stdvec(point).unwrap_or_default();
         let tag = blake3::keyed_hash(self.key.as_bytes(), &bytes);
         bytes.extend_from_slice(&tag.as_bytes()[..TAG_BYTES]);
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     /// [`TokenError`] if the token is not to be trusted.
-    pub(crate) fn open(
+    pub(crate) fn verify(
         &self,
         token: &str,
         workspace: &str,
@@ -94,7 +94,7 @@
         }
         let point: ResumePoint = postcard::from_bytes(body).change_context(TokenError::Forged)?;
         if &*point.workspace != workspace {
-            return Err(Report::new(TokenError::Foreign));
+            return Err(Report::new(TokenError::WrongWorkspace));
         }
         let began = SystemTime::UNIX_EPOCH + Duration::from_secs(point.began);
         let age = now.duration_since(began).unwrap_or_default();
@@ -130,26 +130,32 @@
 
     #[test]
     fn opens_what_it_sealed() {
-        let sealer = Sealer::new(utils::digest(b"secret"));
-        let token = sealer.seal(&point());
-        assert_eq!(sealer.open(&token, "mill", at(1_010)).unwrap(), point());
+        let token_signer = TokenSigner::new(utils::digest(b"secret"));
+        let token = token_signer.sign(&point());
+        assert_eq!(token_signer.verify(&token, "mill", at(1_010)).unwrap(), point());
     }
 
     #[test]
     fn refuses_forged_foreign_and_expired_tokens() {
-        let sealer = Sealer::new(utils::digest(b"secret"));
-        let token = sealer.seal(&point());
-        let other = Sealer::new(utils::digest(b"other"));
+        let token_signer = TokenSigner::new(utils::digest(b"secret"));
+        let token = token_signer.sign(&point());
+        let other = TokenSigner::new(utils::digest(b"other"));
         let error = |r: Result<ResumePoint, Report<TokenError>>| *r.unwrap_err().current_context();
-        assert_eq!(error(other.open(&token, "mill", at(1_010))), TokenError::Forged);
+        assert_eq!(error(other.verify(&token, "mill", at(1_010))), TokenError::Forged);
         assert_eq!(
-            error(sealer.open(&token[1..], "mill", at(1_010))),
+            error(token_signer.verify(&token[1..], "mill", at(1_010))),
             TokenError::Forged
         );
-        assert_eq!(error(sealer.open("", "mill", at(1_010))), TokenError::Forged);
-        assert_eq!(error(sealer.open(&token, "yard", at(1_010))), TokenError::Foreign);
         assert_eq!(
-            error(sealer.open(&token, "mill", at(1_000 + 15 * 60 + 1))),
+            error(token_signer.verify("", "mill", at(1_010))),
+            TokenError::Forged
+        );
+        assert_eq!(
+            error(token_signer.verify(&token, "yard", at(1_010))),
+            TokenError::WrongWorkspace
+        );
+        assert_eq!(
+            error(token_signer.verify(&token, "mill", at(1_000 + 15 * 60 + 1))),
             TokenError::Expired
         );
     }
--- a/components/entry/src/retries.rs
+++ b/components/entry/src/retries.rs
@@ -30,22 +30,22 @@
     }
 
     /// Counts a success.
-    pub(crate) fn note_success(&self, is_retry: bool) {
+    pub(crate) fn record_success(&self, is_retry: bool) {
         self.update(|budget| budget.record_success(is_retry));
     }
 
     fn update<T>(&self, change: impl Fn(&mut RetryBudget) -> T) -> T {
-        let mut seen = self.left.load(Ordering::Relaxed);
+        let mut current = self.left.load(Ordering::Relaxed);
         loop {
-            let mut budget = RetryBudget::with_left(f64::from_bits(seen), BUDGET_SHARE);
+            let mut budget = RetryBudget::with_left(f64::from_bits(current), BUDGET_SHARE);
             let result = change(&mut budget);
             let new = budget.left().to_bits();
             match self
                 .left
-                .compare_exchange_weak(seen, new, Ordering::Relaxed, Ordering::Relaxed)
+                .compare_exchange_weak(current, new, Ordering::Relaxed, Ordering::Relaxed)
             {
                 Ok(_) => return result,
-                Err(other) => seen = other,
+                Err(newer) => current = newer,
             }
         }
     }
--- a/components/entry/src/shared.rs
+++ b/components/entry/src/shared.rs
@@ -15,7 +15,7 @@
 use crate::observe::Observer;
 use crate::outcomes::Outcomes;
 use crate::quarantine::Suspects;
-use crate::resume::Sealer;
+use crate::resume::TokenSigner;
 use crate::retries::Retries;
 use crate::view::{Serving, View, ViewCell};
 
@@ -40,7 +40,7 @@
     /// Decides where prompts run.
     pub placer: Arc<dyn Placer>,
     /// Makes and checks resume tokens.
-    pub sealer: Sealer,
+    pub token_signer: TokenSigner,
     /// Tells the control thread what happened.
     pub observer: Observer,
     /// The latest requests.
@@ -71,7 +71,7 @@
 
     /// Whether new work may be taken under a view. Asked at admission and again before each dispatch.
     pub(crate) fn serving(&self, view: &View) -> Serving {
-        self.gate.serving(&view.obeyed.state(), self.clock.now())
+        self.gate.serving(&view.enforced.state(), self.clock.now())
     }
 
     /// Counts a stream; `None` if the host has too many.
--- a/components/entry/src/traffic/admit.rs
+++ b/components/entry/src/traffic/admit.rs
@@ -8,7 +8,7 @@
 use crate::shared::StreamGuard;
 
 /// A request that counts as open until it is dropped.
-pub(crate) struct OpenRequest {
+pub(crate) struct AdmissionGuard {
     /// Its place on the host.
     _host: StreamGuard,
     /// Its place in the workspace's account; a resumed stream has none.
@@ -21,8 +21,8 @@
     workspace: &WorkspaceId,
     limits: &Limits,
     prompt_tokens: u32,
-) -> Result<OpenRequest, Failure> {
-    let host = take_place(cx)?;
+) -> Result<AdmissionGuard, Failure> {
+    let host = open_stream(cx)?;
     let hosts = cx.shared.view.load().entry_hosts;
     let now = cx.shared.clock.now();
     let admitted = cx
@@ -30,7 +30,7 @@
         .limiter
         .admit(workspace, limits, prompt_tokens, hosts, now);
     match admitted {
-        Ok(account) => Ok(OpenRequest {
+        Ok(account) => Ok(AdmissionGuard {
             _host: host,
             _account: Some(account),
         }),
@@ -49,14 +49,14 @@
 }
 
 /// Admits a stream that goes on; its workspace was charged when it began.
-pub(crate) fn admit_resumed(cx: &Context) -> Result<OpenRequest, Failure> {
-    Ok(OpenRequest {
-        _host: take_place(cx)?,
+pub(crate) fn admit_resumed(cx: &Context) -> Result<AdmissionGuard, Failure> {
+    Ok(AdmissionGuard {
+        _host: open_stream(cx)?,
         _account: None,
     })
 }
 
-fn take_place(cx: &Context) -> Result<StreamGuard, Failure> {
-    let place = cx.shared.open_stream();
-    place.ok_or_else(|| Failure::refused(ProblemKind::TooManyStreams, "this host has too many open streams"))
+fn open_stream(cx: &Context) -> Result<StreamGuard, Failure> {
+    let stream = cx.shared.open_stream();
+    stream.ok_or_else(|| Failure::refused(ProblemKind::TooManyStreams, "this host has too many open streams"))
 }
--- a/components/entry/src/traffic/calls.rs
+++ b/components/entry/src/traffic/calls.rs
@@ -16,7 +16,7 @@
 use super::respond::id_text;
 use super::route::{Received, check_serving};
 use super::{Context, respond};
-use crate::outcomes::Remembered;
+use crate::outcomes::RequestRecord;
 use crate::view::ServiceTarget;
 
 /// Answers a call to a plain service.
@@ -52,7 +52,7 @@
         .get(&received.workspace)
         .map(|w| w.limits)
         .unwrap_or_default();
-    let _open = admit(cx, &received.workspace, &limits, 0)?;
+    let _guard = admit(cx, &received.workspace, &limits, 0)?;
     let reply = match (rules.repeatable, &req.idempotency_key) {
         (true, _) => send(cx, &received, &req, rules.timeout()).await?,
         (false, Some(_)) => call_once(cx, &received, &req, rules.timeout()).await?,
@@ -75,17 +75,17 @@
     req: &CallRequest,
     timeout: Duration,
 ) -> Result<CallReply, Failure> {
-    let target = choose(cx, received, req)?;
+    let target = choose_target(cx, received, req)?;
     let result = call_target(cx, req, target, timeout).await;
     let outcome = match &result {
         Ok(_) => Outcome::Ran,
         Err(e) if e.is_not_run() => Outcome::NotRun,
         Err(_) => Outcome::MayHaveRun,
     };
-    note_end(cx, received, outcome);
+    record_outcome(cx, received, outcome);
     result.map_err(|error| match outcome {
         Outcome::NotRun => Failure::refused(ProblemKind::TargetFailed, error.to_string()),
-        _ => Failure::unknown(ProblemKind::OutcomeUnknown, error.to_string()),
+        _ => Failure::may_have_run(ProblemKind::OutcomeUnknown, error.to_string()),
     })
 }
 
@@ -99,33 +99,33 @@
     info!(cx.shared.log, "call placed"; events::PLACED,
         "request" => id_text(req.request_id), "service" => &*req.service, "target" => &*target.id);
     let service = HttpService::new(cx.services.clone(), target.address);
-    let late = async {
+    let on_timeout = async {
         smol::Timer::after(timeout).await;
         Err(TargetError::TimedOut.into())
     };
-    let result = service.call(req.clone()).or(late).await;
+    let result = service.call(req.clone()).or(on_timeout).await;
     result.map_err(|e| *e.current_context())
 }
 
 /// Keeps what became of a call for whoever asks for it.
-pub(crate) fn note_end(cx: &Context, received: &Received, outcome: Outcome) {
+pub(crate) fn record_outcome(cx: &Context, received: &Received, outcome: Outcome) {
     let state = match outcome {
         Outcome::Ran => "answered",
         Outcome::NotRun => "refused",
         Outcome::MayHaveRun => "unknown",
     };
-    let remembered = Remembered {
+    let record = RequestRecord {
         workspace: received.workspace.clone(),
         state,
         outcome,
         placement: None,
     };
-    cx.shared.outcomes.record(received.id, remembered);
-    cx.shared.metrics.request("call", outcome);
+    cx.shared.outcomes.record(received.id, record);
+    cx.shared.metrics.record_request("call", outcome);
 }
 
 /// Chooses a target of the service, in this failure domain if there is one.
-pub(crate) fn choose<'a>(
+pub(crate) fn choose_target<'a>(
     cx: &Context,
     received: &'a Received,
     req: &CallRequest,
@@ -139,10 +139,15 @@
                 .declared
                 .allows(&req.workspace, &req.service, &t.region, &t.failure_domain)
     };
-    let near = |t: &&ServiceTarget| t.region == host.region && t.failure_domain == host.failure_domain;
+    let is_same_domain =
+        |t: &&ServiceTarget| t.region == host.region && t.failure_domain == host.failure_domain;
     let all: Vec<_> = view.services.iter().filter(usable).collect();
-    let nearest: Vec<_> = all.iter().copied().filter(near).collect();
-    let pool = if nearest.is_empty() { &all } else { &nearest };
+    let same_domain: Vec<_> = all.iter().copied().filter(is_same_domain).collect();
+    let pool = if same_domain.is_empty() {
+        &all
+    } else {
+        &same_domain
+    };
     let chosen = pool.choose(&mut rand::rng()).copied();
     chosen.ok_or_else(|| Failure::refused(ProblemKind::NoTarget, "no live target offers the service"))
 }
--- a/components/entry/src/traffic/drafts.rs
+++ b/components/entry/src/traffic/drafts.rs
@@ -12,16 +12,16 @@
 use super::admit::admit;
 use super::failure::Failure;
 use super::import::import;
+use super::in_flight::InFlightGuard;
 use super::openai::{ChatBody, CompletionBody, Prompt, Writer};
 use super::relay::Relay;
 use super::respond::id_text;
 use super::route::{Received, check_serving};
-use super::sent::SentDraft;
-use super::watch::Watch;
+use super::watch::CrashWatch;
 use super::{Context, respond};
-use crate::cache::name_pieces;
+use crate::cache::piece_ids;
 use crate::observe::Observation;
-use crate::outcomes::Remembered;
+use crate::outcomes::RequestRecord;
 use crate::resume::ResumePoint;
 use crate::view::View;
 
@@ -30,7 +30,7 @@
 /// Most targets tried for one draft.
 const MAX_TARGETS: u32 = 4;
 /// Status with which an engine says that it does not hold a draft.
-const STATUS_NOT_HELD: u16 = 404;
+const STATUS_NO_SUCH_DRAFT: u16 = 404;
 
 /// A stream and the event that was read from it first.
 type FirstEvent = (Box<dyn DraftStream>, DraftEvent);
@@ -50,15 +50,15 @@
     /// When the request came.
     pub began: Monotonic,
     /// When the first token is due.
-    pub due: Monotonic,
+    pub deadline: Monotonic,
     /// Targets that failed.
     pub excluded: Vec<TargetId>,
     /// Whether a target may have run the request.
-    pub sent: bool,
+    pub may_have_run: bool,
     /// Watches the tries for crashes; `None` for a draft that is only resumed.
-    pub watch: Option<Watch>,
+    pub watch: Option<CrashWatch>,
     /// Counts the draft at the target that it was sent to last.
-    pub sent_to: Option<SentDraft>,
+    pub in_flight: Option<InFlightGuard>,
 }
 
 /// A draft whose first event arrived.
@@ -111,7 +111,7 @@
             return Err(Failure::refused(ProblemKind::PromptTooLong, detail));
         }
         let secret = &cx.shared.settings.secrets.pieces;
-        let pieces = name_pieces(secret, &received.workspace, model, deployment, &prompt.text);
+        let pieces = piece_ids(secret, &received.workspace, model, deployment, &prompt.text);
         let began = cx.shared.clock.now();
         let priority = declared
             .workspaces
@@ -132,9 +132,9 @@
             continued: String::new(),
             resume_only: false,
         };
-        let due = began + deployment.first_token_deadline();
+        let deadline = began + deployment.first_token_deadline();
         let (cx, stream, chat) = (cx.clone(), prompt.stream, prompt.chat);
-        let watch = Watch::new(&cx.shared, &received.workspace, &body);
+        let watch = CrashWatch::new(&cx.shared, &received.workspace, &body);
         Ok(Self {
             cx,
             received,
@@ -142,11 +142,11 @@
             stream,
             chat,
             began,
-            due,
+            deadline,
             excluded: Vec::new(),
-            sent: false,
+            may_have_run: false,
             watch: Some(watch),
-            sent_to: None,
+            in_flight: None,
         })
     }
 
@@ -173,15 +173,15 @@
     /// Places and sends the draft until one target's first event arrives.
     pub(crate) async fn open(&mut self) -> Result<Opened, Failure> {
         for target_number in 1..=MAX_TARGETS {
-            let chosen = self.place_watched().await?;
+            let chosen = self.place_when_permitted().await?;
             let tokens = self.req.prompt_tokens;
-            self.sent_to = Some(SentDraft::new(&self.cx.shared, chosen.key, tokens));
-            let time_left = self.due.saturating_sub(self.cx.shared.clock.now());
+            self.in_flight = Some(InFlightGuard::new(&self.cx.shared, chosen.key, tokens));
+            let time_left = self.deadline.saturating_sub(self.cx.shared.clock.now());
             import(&self.cx, &chosen, self.req.weight_version, time_left).await;
-            let failure = match self.wait_for_first(&chosen).await {
+            let failure = match self.wait_for_first_event(&chosen).await {
                 Ok((stream, first)) => {
-                    self.tell_prefilled(&chosen);
-                    self.cx.shared.retries.note_success(target_number > 1);
+                    self.report_prefilled(&chosen);
+                    self.cx.shared.retries.record_success(target_number > 1);
                     return Ok(Opened {
                         chosen,
                         stream,
@@ -190,22 +190,22 @@
                 }
                 Err(failure) => failure,
             };
-            self.note_failure(&chosen, failure);
-            self.examine(&chosen, failure).await?;
+            self.record_failure(&chosen, failure);
+            self.check_for_crash(&chosen, failure).await?;
             if !self.wait_for_retry(target_number).await {
                 break;
             }
         }
-        self.wait_until_published().await;
-        Err(self.failed("no target answered"))
+        self.wait_for_propagation().await;
+        Err(self.request_failure("no target answered"))
     }
 
     /// Tells the control thread that the target has the prompt in its cache.
-    fn tell_prefilled(&self, chosen: &Chosen) {
+    fn report_prefilled(&self, chosen: &Chosen) {
         if self.req.pieces.is_empty() {
             return;
         }
-        self.cx.shared.observer.tell(Observation::Prefilled {
+        self.cx.shared.observer.send(Observation::Prefilled {
             key: chosen.key,
             workspace: self.req.workspace.clone(),
             weight_version: self.req.weight_version,
@@ -214,15 +214,15 @@
     }
 
     /// Waits until the draft may be tried again; false if it may not.
-    async fn wait_for_retry(&self, tried: u32) -> bool {
+    async fn wait_for_retry(&self, targets_tried: u32) -> bool {
         let shared = &self.cx.shared;
         let failed = FailedTry {
-            attempt: tried,
+            attempt: targets_tried,
             max_attempts: MAX_TARGETS,
             is_idempotent: true,
-            is_not_run: !self.sent,
+            is_not_run: !self.may_have_run,
             failed_at: shared.clock.now(),
-            due: self.due,
+            due: self.deadline,
             expected: Duration::ZERO,
         };
         loop {
@@ -230,13 +230,13 @@
             info!(shared.log, "retry decided"; events::RETRY_DECIDED,
                 "request" => id_text(self.received.id), "decision" => ?next.decision,
                 "time_left" => ?next.time_left, "budget_left" => next.budget_left);
-            let (after, is_decided) = match next.decision {
+            let (after, is_retry) = match next.decision {
                 RetryDecision::Retry { after } => (after, true),
                 RetryDecision::Hold { after } => (after, false),
                 RetryDecision::Stop(_) => return false,
             };
             smol::Timer::after(after).await;
-            if is_decided {
+            if is_retry {
                 return true;
             }
         }
@@ -244,15 +244,15 @@
 
     /// Sends the draft to one target. A silent connection is replaced by a new one to the same target, which
     /// goes on with the draft that the target holds, until the first token is due.
-    async fn wait_for_first(&mut self, chosen: &Chosen) -> Result<FirstEvent, TargetError> {
-        let mut tried = self.try_at(chosen, false).await;
+    async fn wait_for_first_event(&mut self, chosen: &Chosen) -> Result<FirstEvent, TargetError> {
+        let mut result = self.send_to_target(chosen, false).await;
         loop {
-            match tried {
-                Err(TargetError::TimedOut) if self.cx.shared.clock.now() < self.due => {
-                    self.sent = true;
+            match result {
+                Err(TargetError::TimedOut) if self.cx.shared.clock.now() < self.deadline => {
+                    self.may_have_run = true;
                     self.req.resume_only = true;
                 }
-                Err(TargetError::Refused(STATUS_NOT_HELD)) if self.req.resume_only => {
+                Err(TargetError::Refused(STATUS_NO_SUCH_DRAFT)) if self.req.resume_only => {
                     self.req.resume_only = false;
                 }
                 other => {
@@ -260,12 +260,12 @@
                     return other;
                 }
             }
-            tried = self.try_at(chosen, true).await;
+            result = self.send_to_target(chosen, true).await;
         }
     }
 
     /// Sends the draft to one target on one connection and waits for an event as long as for any progress.
-    pub(crate) async fn try_at(
+    pub(crate) async fn send_to_target(
         &mut self,
         chosen: &Chosen,
         new_connection: bool,
@@ -284,35 +284,35 @@
             let first = stream.next().await.map_err(|e| *e.current_context())?;
             first.map(|first| (stream, first)).ok_or(TargetError::CutShort)
         };
-        let late = async {
+        let timeout = async {
             smol::Timer::after(limit).await;
             Err(TargetError::TimedOut)
         };
-        open.or(late).await
+        open.or(timeout).await
     }
 
     /// Records that a try failed and keeps its target out of the next placement.
-    pub(crate) fn note_failure(&mut self, chosen: &Chosen, failure: TargetError) {
-        self.sent |= !failure.is_not_run();
+    pub(crate) fn record_failure(&mut self, chosen: &Chosen, failure: TargetError) {
+        self.may_have_run |= !failure.is_not_run();
         self.excluded.push(chosen.target.clone());
         let shared = &self.cx.shared;
-        shared.metrics.attempt("failed");
+        shared.metrics.record_attempt("failed");
         let key = chosen.key;
-        shared.observer.tell(Observation::Failed { key, failure });
+        shared.observer.send(Observation::Failed { key, failure });
         warn!(shared.log, "attempt failed"; events::ATTEMPT_FAILED,
             "request" => id_text(self.received.id), "attempt" => self.req.attempt,
             "target" => &*chosen.target, "failure" => %failure);
     }
 
     /// The failure of the whole request, with what is known about its tries.
-    pub(crate) fn failed(&self, detail: &str) -> Failure {
-        let failure = if self.sent {
-            Failure::unknown
+    pub(crate) fn request_failure(&self, detail: &str) -> Failure {
+        let failure = if self.may_have_run {
+            Failure::may_have_run
         } else {
             Failure::refused
         };
         failure(
-            if self.sent {
+            if self.may_have_run {
                 ProblemKind::TargetFailed
             } else {
                 ProblemKind::NoTarget
@@ -326,8 +326,8 @@
         if self.req.offset > 0 {
             return Ok(());
         }
-        check_serving(&self.cx, view).map_err(|refused| self.ended_by(refused))?;
-        let deployment = view.obeyed.deployment(&self.req.model);
+        check_serving(&self.cx, view).map_err(|refused| self.failure_from_refusal(refused))?;
+        let deployment = view.enforced.deployment(&self.req.model);
         let is_allowed = deployment.is_some_and(|deployment| {
             let versions = deployment.weight_versions();
             versions.contains(&self.req.weight_version) && deployment.is_open_to(&self.req.workspace)
@@ -336,13 +336,13 @@
             return Ok(());
         }
         let detail = "a release note changed what the workspace may use";
-        Err(self.ended_by(Failure::refused(ProblemKind::UnknownModel, detail)))
+        Err(self.failure_from_refusal(Failure::refused(ProblemKind::UnknownModel, detail)))
     }
 
     /// A refusal before anything was sent; else the failure of the whole request.
-    fn ended_by(&self, refused: Failure) -> Failure {
-        match self.sent {
-            true => self.failed(&refused.detail),
+    fn failure_from_refusal(&self, refused: Failure) -> Failure {
+        match self.may_have_run {
+            true => self.request_failure(&refused.detail),
             false => refused,
         }
     }
@@ -368,7 +368,7 @@
             prompt_tokens: self.req.prompt_tokens,
             region: &shared.settings.host.region,
             excluded: &self.excluded,
-            time_left: self.due.saturating_sub(now),
+            time_left: self.deadline.saturating_sub(now),
             first_token_weight: cost.first_token,
             recomputed_weight: cost.recomputed,
             link_weight: cost.link,
@@ -380,7 +380,7 @@
         self.log_placement(&placement);
         placement
             .chosen
-            .ok_or_else(|| self.failed("no live target serves the model at this version"))
+            .ok_or_else(|| self.request_failure("no live target serves the model at this version"))
     }
 
     fn log_placement(&self, placement: &Placement) {
@@ -388,19 +388,19 @@
         let explained = serde_json::to_string(placement).unwrap_or_default();
         info!(shared.log, "request placed"; events::PLACED,
             "request" => id_text(self.received.id), "attempt" => self.req.attempt + 1, "placement" => &explained);
-        self.remember("placed", self.failed("").outcome, Some(explained));
+        self.record_state("placed", self.request_failure("").outcome, Some(explained));
     }
 
     /// Keeps the request's state for whoever asks for it.
-    pub(crate) fn remember(&self, state: &'static str, outcome: Outcome, placement: Option<String>) {
+    pub(crate) fn record_state(&self, state: &'static str, outcome: Outcome, placement: Option<String>) {
         let workspace = self.received.workspace.clone();
-        let remembered = Remembered {
+        let record = RequestRecord {
             workspace,
             state,
             outcome,
             placement,
         };
-        self.cx.shared.outcomes.record(self.received.id, remembered);
+        self.cx.shared.outcomes.record(self.received.id, record);
     }
 
     /// Writes the objects of the answer.
--- a/components/entry/src/traffic/failure.rs
+++ b/components/entry/src/traffic/failure.rs
@@ -22,7 +22,7 @@
     }
 
     /// A failure after a target may have run the request.
-    pub(crate) fn unknown(kind: ProblemKind, detail: impl Into<String>) -> Self {
+    pub(crate) fn may_have_run(kind: ProblemKind, detail: impl Into<String>) -> Self {
         Self {
             kind,
             outcome: Outcome::MayHaveRun,
--- a/components/entry/src/traffic/import.rs
+++ b/components/entry/src/traffic/import.rs
@@ -11,23 +11,24 @@
 use crate::observe::Observation;
 
 /// Time beyond what was expected until a transfer is given up.
-const GRACE: Duration = Duration::from_millis(500);
+const TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
 
 /// Multiple of the expected time until a transfer is given up.
-const PATIENCE: f64 = 3.0;
+const TIMEOUT_FACTOR: f64 = 3.0;
 
 /// Makes the chosen engine read the pieces of a placement from stores. Whatever fails is computed again by the engine.
 pub(crate) async fn import(cx: &Context, chosen: &Chosen, version: WeightVersion, time_left: Duration) {
     if chosen.fetches.is_empty() {
         return;
     }
-    let expected = Duration::try_from_secs_f64(chosen.cost.fetch_seconds * PATIENCE).unwrap_or(time_left);
-    let limit = (expected + GRACE).min(time_left / 2);
-    let late = async {
+    let expected =
+        Duration::try_from_secs_f64(chosen.cost.fetch_seconds * TIMEOUT_FACTOR).unwrap_or(time_left);
+    let limit = (expected + TIMEOUT_MARGIN).min(time_left / 2);
+    let timeout = async {
         smol::Timer::after(limit).await;
         false
     };
-    if !import_all(cx, chosen, version).or(late).await {
+    if !import_all(cx, chosen, version).or(timeout).await {
         warn!(cx.shared.log, "pieces not imported"; events::IMPORT_FAILED,
             "target" => &*chosen.target, "pieces" => chosen.fetches.len());
     }
@@ -43,8 +44,8 @@
             weight_version: version,
             store: fetch.store,
         };
-        transfer.is_whole = engine.import(req).await.is_ok();
-        if !transfer.is_whole {
+        transfer.is_complete = engine.import(req).await.is_ok();
+        if !transfer.is_complete {
             return false;
         }
     }
@@ -55,27 +56,27 @@
 struct Transfer<'a> {
     cx: &'a Context,
     fetch: &'a Fetch,
-    is_whole: bool,
+    is_complete: bool,
 }
 
 impl<'a> Transfer<'a> {
     fn start(cx: &'a Context, fetch: &'a Fetch) -> Self {
         cx.shared
             .observer
-            .tell(Observation::FetchStarted { store: fetch.store });
+            .send(Observation::FetchStarted { store: fetch.store });
         Self {
             cx,
             fetch,
-            is_whole: false,
+            is_complete: false,
         }
     }
 }
 
 impl Drop for Transfer<'_> {
     fn drop(&mut self) {
-        self.cx.shared.observer.tell(Observation::FetchEnded {
+        self.cx.shared.observer.send(Observation::FetchEnded {
             store: self.fetch.store,
-            is_whole: self.is_whole,
+            is_complete: self.is_complete,
         });
     }
 }
--- a/components/entry/src/traffic/sent.rs
+++ b/components/entry/src/traffic/in_flight.rs
@@ -6,17 +6,17 @@
 use crate::shared::Shared;
 
 /// Counts a draft as open at a target until it is dropped.
-pub(crate) struct SentDraft {
+pub(crate) struct InFlightGuard {
     /// Where the control thread is told.
     shared: Arc<Shared>,
     /// The target.
     key: CandidateKey,
 }
 
-impl SentDraft {
+impl InFlightGuard {
     /// Tells the control thread that a prompt of this many tokens goes to a target.
     pub(crate) fn new(shared: &Arc<Shared>, key: CandidateKey, tokens: u32) -> Self {
-        shared.observer.tell(Observation::Sent { key, tokens });
+        shared.observer.send(Observation::Sent { key, tokens });
         Self {
             shared: shared.clone(),
             key,
@@ -24,8 +24,8 @@
     }
 }
 
-impl Drop for SentDraft {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.shared.observer.tell(Observation::Ended { key: self.key });
+        self.shared.observer.send(Observation::Ended { key: self.key });
     }
 }
--- a/components/entry/src/traffic/mod.rs
+++ b/components/entry/src/traffic/mod.rs
@@ -5,12 +5,12 @@
 mod drafts;
 mod failure;
 mod import;
+mod in_flight;
 mod once;
 mod openai;
 mod relay;
 mod respond;
 mod route;
-mod sent;
 mod watch;
 
 use std::net::TcpListener;
@@ -34,7 +34,7 @@
 }
 
 /// Longest time for a plain service's answer, whatever the release note says.
-const LONGEST_CALL: Duration = Duration::from_secs(60);
+const MAX_CALL_TIME: Duration = Duration::from_secs(60);
 
 /// Serves callers until `stop` resolves and every open request is finished, or until `abort` resolves.
 pub(crate) fn run(
@@ -77,7 +77,7 @@
         let first_event = Duration::from_millis(shared.settings.timeouts.first_event_ms);
         Self {
             engines: client(first_event),
-            services: client(LONGEST_CALL),
+            services: client(MAX_CALL_TIME),
             shared,
         }
     }
--- a/components/entry/src/traffic/once.rs
+++ b/components/entry/src/traffic/once.rs
@@ -9,14 +9,14 @@
 use targets::{CallOutcome, CallReply, CallRequest, HttpService, Service};
 
 use super::Context;
-use super::calls::{call_target, choose, note_end};
+use super::calls::{call_target, choose_target, record_outcome};
 use super::failure::Failure;
 use super::route::{Received, check_serving};
 
 /// Longest idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 200;
-/// Longest wait for what a target says about a key.
-const ASK_TIMEOUT: Duration = Duration::from_secs(1);
+/// Longest wait for the answer to a query about a key.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Makes a call at most once, or replays its answer.
 pub(crate) async fn call_once(
@@ -26,7 +26,7 @@
     timeout: Duration,
 ) -> Result<CallReply, Failure> {
     let key = checked_key(req)?;
-    let target = choose(cx, received, req)?;
+    let target = choose_target(cx, received, req)?;
     let new = NewCall {
         key: CallKey {
             workspace: req.workspace.clone(),
@@ -39,7 +39,7 @@
     };
     let verdict = match cx.shared.ledger.begin(new).await {
         Begun::Told(verdict) => verdict,
-        Begun::Ask(question) => ask(cx, received, req, question).await,
+        Begun::Ask(question) => query_target(cx, received, req, question).await,
         Begun::Held(claim) => {
             // A claim that is dropped is given up.
             check_serving(cx, &cx.shared.view.load())?;
@@ -49,13 +49,13 @@
                     let end = call_end(call_target(cx, req, target, timeout).await);
                     match sent.end(end).await {
                         Ended::Told(verdict) => verdict,
-                        Ended::Ask(question) => ask(cx, received, req, question).await,
+                        Ended::Ask(question) => query_target(cx, received, req, question).await,
                     }
                 }
             }
         }
     };
-    note_end(cx, received, verdict.outcome());
+    record_outcome(cx, received, verdict.outcome());
     into_reply(verdict)
 }
 
@@ -94,9 +94,9 @@
 }
 
 /// Asks the target that a call went to what it did.
-async fn ask(cx: &Context, received: &Received, req: &CallRequest, question: Question) -> Verdict {
-    let asked = received.view.services.iter().find(|t| t.id == question.target);
-    let reply = match asked {
+async fn query_target(cx: &Context, received: &Received, req: &CallRequest, question: Question) -> Verdict {
+    let target = received.view.services.iter().find(|t| t.id == question.target);
+    let reply = match target {
         Some(target) => {
             let service = HttpService::new(cx.services.clone(), target.address);
             recorded_outcome(&service, req).await
@@ -108,12 +108,12 @@
 
 async fn recorded_outcome(service: &HttpService, req: &CallRequest) -> Option<RecordedReply> {
     let key = req.idempotency_key.clone()?;
-    let late = async {
-        smol::Timer::after(ASK_TIMEOUT).await;
+    let timeout = async {
+        smol::Timer::after(QUERY_TIMEOUT).await;
         None
     };
-    let says = async { service.outcome(req.workspace.clone(), key).await.ok().flatten() };
-    match smol::future::or(says, late).await {
+    let query = async { service.outcome(req.workspace.clone(), key).await.ok().flatten() };
+    match smol::future::or(query, timeout).await {
         Some(CallOutcome::Ran {
             status,
             content_type,
--- a/components/entry/src/traffic/relay.rs
+++ b/components/entry/src/traffic/relay.rs
@@ -11,13 +11,13 @@
 use targets::{DraftEvent, DraftRequest, DraftStream, TargetError};
 use utils::WeightVersion;
 
-use super::admit::{OpenRequest, admit_resumed};
+use super::admit::{AdmissionGuard, admit_resumed};
 use super::drafts::{Draft, Opened, error_event};
 use super::failure::Failure;
+use super::in_flight::InFlightGuard;
 use super::openai::{Usage, Writer};
 use super::respond::id_text;
 use super::route::Received;
-use super::sent::SentDraft;
 use super::{Context, respond};
 use crate::resume::{ResumePoint, TokenError};
 
@@ -41,7 +41,7 @@
     /// Text sent so far by this host, for continuing at another target.
     text: String,
     /// Whether `text` holds the answer from its beginning.
-    text_is_whole: bool,
+    has_full_text: bool,
     /// Tokens that the caller has.
     offset: u32,
     /// Resumes since the last token.
@@ -49,13 +49,13 @@
     /// Whether the caller knows how the request ended.
     ended: bool,
     /// Counts the request as open.
-    _guard: OpenRequest,
+    _guard: AdmissionGuard,
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
         if !self.ended {
-            self.caller_gone();
+            self.record_caller_gone();
         }
     }
 }
@@ -69,7 +69,7 @@
 }
 
 impl Relay {
-    pub(crate) fn new(draft: Draft, opened: Opened, guard: OpenRequest) -> Self {
+    pub(crate) fn new(draft: Draft, opened: Opened, guard: AdmissionGuard) -> Self {
         let version = opened
             .first
             .start
@@ -84,7 +84,7 @@
             version,
             writer,
             text: String::new(),
-            text_is_whole: offset == 0,
+            has_full_text: offset == 0,
             offset,
             resumes: 0,
             draft,
@@ -108,7 +108,7 @@
         match self.step().await {
             Ok(Step::Token(text)) => Some(self.event(self.writer.token(&text)).to_bytes()),
             Ok(Step::End) => {
-                self.answered();
+                self.record_answered();
                 let end = self
                     .event(self.writer.finish(self.usage(), self.finish_reason()))
                     .to_bytes();
@@ -120,7 +120,7 @@
                 Some([end, done].concat().into())
             }
             Err(failure) => {
-                self.cut(&failure);
+                self.record_interrupted(&failure);
                 Some(error_event(&failure, &id_text(self.draft.received.id)).to_bytes())
             }
         }
@@ -133,11 +133,11 @@
                 Ok(Step::Token(_)) => {}
                 Ok(Step::End) => {
                     let whole = self.writer.whole(&self.text, self.usage(), self.finish_reason());
-                    self.answered();
+                    self.record_answered();
                     return Ok(whole);
                 }
                 Err(failure) => {
-                    self.cut(&failure);
+                    self.record_interrupted(&failure);
                     return Err(failure);
                 }
             }
@@ -148,7 +148,7 @@
         loop {
             match self.next().await {
                 Ok(event) => {
-                    if let Some(step) = self.take(event)? {
+                    if let Some(step) = self.apply_event(event)? {
                         return Ok(step);
                     }
                 }
@@ -166,18 +166,18 @@
             let next = self.stream.next().await.map_err(|e| *e.current_context())?;
             next.ok_or(TargetError::CutShort)
         };
-        let late = async {
+        let timeout = async {
             smol::Timer::after(limit).await;
             Err(TargetError::TimedOut)
         };
-        read.or(late).await
+        read.or(timeout).await
     }
 
-    fn take(&mut self, event: DraftEvent) -> Result<Option<Step>, Failure> {
+    fn apply_event(&mut self, event: DraftEvent) -> Result<Option<Step>, Failure> {
         if let Some(start) = &event.start
             && start.weight_version != self.version
         {
-            return Err(self.truth(
+            return Err(self.partial_failure(
                 ProblemKind::VersionGone,
                 "the answer can not go on at another weight version",
             ));
@@ -189,7 +189,7 @@
                     .cx
                     .shared
                     .metrics
-                    .first_token(now.saturating_sub(self.draft.began));
+                    .record_first_token(now.saturating_sub(self.draft.began));
             }
             self.offset = chunk.index + 1;
             self.resumes = 0;
@@ -203,7 +203,7 @@
     async fn resume(&mut self, error: TargetError) -> Result<(), Failure> {
         self.resumes += 1;
         if self.resumes > MAX_RESUMES {
-            return Err(self.truth(
+            return Err(self.partial_failure(
                 ProblemKind::AnswerCut,
                 "the answer broke off and could not be resumed",
             ));
@@ -212,7 +212,7 @@
         self.draft.req.weight_version = self.version;
         self.draft.req.resume_only = true;
         let chosen = self.chosen.clone();
-        let failure = match self.draft.try_at(&chosen, true).await {
+        let failure = match self.draft.send_to_target(&chosen, true).await {
             Ok((stream, first)) => {
                 self.log_resumed(error);
                 (self.stream, self.first) = (stream, Some(first));
@@ -220,22 +220,24 @@
             }
             Err(failure) => failure,
         };
-        self.draft.sent = true;
-        self.draft.note_failure(&chosen, failure);
-        self.draft.examine(&chosen, error).await?;
+        self.draft.may_have_run = true;
+        self.draft.record_failure(&chosen, failure);
+        self.draft.check_for_crash(&chosen, error).await?;
         self.move_to_other_target().await
     }
 
     async fn move_to_other_target(&mut self) -> Result<(), Failure> {
-        if !self.text_is_whole {
-            return Err(self.truth(ProblemKind::AnswerCut, "the target that held the draft is gone"));
+        if !self.has_full_text {
+            return Err(
+                self.partial_failure(ProblemKind::AnswerCut, "the target that held the draft is gone")
+            );
         }
         self.draft.req.resume_only = false;
         self.draft.req.continued = self.text.clone();
-        self.draft.due = self.draft.cx.shared.clock.now() + self.first_event_limit();
+        self.draft.deadline = self.draft.cx.shared.clock.now() + self.first_event_limit();
         let opened = self.draft.open().await.map_err(|failure| match failure.kind {
             ProblemKind::Quarantined => failure,
-            _ => self.truth(
+            _ => self.partial_failure(
                 ProblemKind::AnswerCut,
                 "no other target could go on with the answer",
             ),
@@ -251,7 +253,7 @@
     fn event(&self, data: String) -> SseEvent {
         let point = self.draft.resume_point(&self.chosen, self.version, self.offset);
         SseEvent {
-            id: Some(self.draft.cx.shared.sealer.seal(&point)),
+            id: Some(self.draft.cx.shared.token_signer.sign(&point)),
             data,
         }
     }
@@ -269,7 +271,7 @@
     }
 
     /// A failure of a draft that ran at least in part.
-    fn truth(&self, kind: ProblemKind, detail: &str) -> Failure {
+    fn partial_failure(&self, kind: ProblemKind, detail: &str) -> Failure {
         let detail = format!("{detail}; {} tokens were sent", self.offset);
         Failure {
             kind,
@@ -278,33 +280,33 @@
         }
     }
 
-    fn answered(&mut self) {
+    fn record_answered(&mut self) {
         self.ended = true;
         if let Some(watch) = &mut self.draft.watch {
-            watch.end(&TryOutcome::Succeeded);
+            watch.record_end(&TryOutcome::Succeeded);
         }
         let shared = &self.draft.cx.shared;
-        shared.metrics.attempt("ok");
-        shared.metrics.request("draft", Outcome::Ran);
-        shared.metrics.tokens(u64::from(self.offset));
-        self.draft.remember("answered", Outcome::Ran, None);
+        shared.metrics.record_attempt("ok");
+        shared.metrics.record_request("draft", Outcome::Ran);
+        shared.metrics.record_tokens(u64::from(self.offset));
+        self.draft.record_state("answered", Outcome::Ran, None);
         info!(shared.log, "request answered"; events::ANSWERED,
             "request" => id_text(self.draft.received.id), "target" => &*self.chosen.target,
             "attempts" => self.draft.req.attempt, "tokens" => self.offset, "weight_version" => self.version);
     }
 
-    fn caller_gone(&self) {
+    fn record_caller_gone(&self) {
         let shared = &self.draft.cx.shared;
-        self.draft.remember("streaming", Outcome::MayHaveRun, None);
+        self.draft.record_state("streaming", Outcome::MayHaveRun, None);
         info!(shared.log, "caller closed the connection"; events::CALLER_GONE,
             "request" => id_text(self.draft.received.id), "tokens" => self.offset);
     }
 
-    fn cut(&mut self, failure: &Failure) {
+    fn record_interrupted(&mut self, failure: &Failure) {
         self.ended = true;
         let shared = &self.draft.cx.shared;
-        shared.metrics.request("draft", failure.outcome);
-        self.draft.remember("unknown", failure.outcome, None);
+        shared.metrics.record_request("draft", failure.outcome);
+        self.draft.record_state("unknown", failure.outcome, None);
         info!(shared.log, "answer ended early"; events::OUTCOME_UNKNOWN,
             "request" => id_text(self.draft.received.id), "problem" => failure.kind.name(),
             "detail" => &failure.detail);
@@ -321,20 +323,20 @@
 pub(crate) async fn resume(cx: &Context, received: Received, token: &str) -> Result<Response<Body>, Failure> {
     let opened = cx
         .shared
-        .sealer
-        .open(token, &received.workspace, cx.shared.clock.wall());
+        .token_signer
+        .verify(token, &received.workspace, cx.shared.clock.wall());
     let point = opened.map_err(|e| {
         let kind = match e.current_context() {
             TokenError::Expired => ProblemKind::ExpiredResumeToken,
-            TokenError::Forged | TokenError::Foreign => ProblemKind::InvalidResumeToken,
+            TokenError::Forged | TokenError::WrongWorkspace => ProblemKind::InvalidResumeToken,
         };
         Failure::refused(kind, e.current_context().to_string())
     })?;
     let guard = admit_resumed(cx)?;
     let (mut draft, chosen) = resumed_draft(cx, received, point)?;
-    draft.sent_to = Some(SentDraft::new(&cx.shared, chosen.key, 0));
-    let tried = draft.try_at(&chosen, false).await;
-    let (stream, first) = tried.map_err(|failure| Failure {
+    draft.in_flight = Some(InFlightGuard::new(&cx.shared, chosen.key, 0));
+    let result = draft.send_to_target(&chosen, false).await;
+    let (stream, first) = result.map_err(|failure| Failure {
         kind: if failure == TargetError::VersionGone {
             ProblemKind::VersionGone
         } else {
@@ -364,7 +366,7 @@
     let targets = &received.view.placement.targets;
     let Some((key, candidate)) = targets.iter().find(|(_, c)| c.address == point.address) else {
         let detail = "the target that held the draft is gone";
-        return Err(Failure::unknown(ProblemKind::AnswerCut, detail));
+        return Err(Failure::may_have_run(ProblemKind::AnswerCut, detail));
     };
     let chosen = Chosen {
         key,
@@ -397,11 +399,11 @@
         stream: true,
         chat: point.chat,
         began,
-        due: began,
+        deadline: began,
         excluded: Vec::new(),
-        sent: true,
+        may_have_run: true,
         watch: None,
-        sent_to: None,
+        in_flight: None,
     };
     Ok((draft, chosen))
 }
--- a/components/entry/src/traffic/respond.rs
+++ b/components/entry/src/traffic/respond.rs
@@ -17,50 +17,50 @@
 }
 
 /// A problem document.
-pub(crate) fn problem(problem: &Problem, note: u64) -> Response<Body> {
+pub(crate) fn problem(problem: &Problem, note_version: u64) -> Response<Body> {
     let mut res = Response::new(json_body(problem));
     *res.status_mut() = StatusCode::from_u16(problem.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    set(&mut res, CONTENT_TYPE.as_str(), "application/problem+json");
-    mark(&mut res, problem.outcome, &problem.request_id, note);
+    set_header(&mut res, CONTENT_TYPE.as_str(), "application/problem+json");
+    set_request_headers(&mut res, problem.outcome, &problem.request_id, note_version);
     if matches!(problem.status, 429 | 503) {
-        set(&mut res, "retry-after", "1");
+        set_header(&mut res, "retry-after", "1");
     }
     res
 }
 
 /// A JSON answer.
-pub(crate) fn json(value: &impl Serialize, outcome: Outcome, id: &str, note: u64) -> Response<Body> {
+pub(crate) fn json(value: &impl Serialize, outcome: Outcome, id: &str, note_version: u64) -> Response<Body> {
     let mut res = Response::new(json_body(value));
-    set(&mut res, CONTENT_TYPE.as_str(), "application/json");
-    mark(&mut res, outcome, id, note);
+    set_header(&mut res, CONTENT_TYPE.as_str(), "application/json");
+    set_request_headers(&mut res, outcome, id, note_version);
     res
 }
 
 /// The head of an event stream.
-pub(crate) fn stream(body: Body, id: &str, note: u64) -> Response<Body> {
+pub(crate) fn stream(body: Body, id: &str, note_version: u64) -> Response<Body> {
     let mut res = Response::new(body);
-    set(&mut res, CONTENT_TYPE.as_str(), "text/event-stream");
-    set(&mut res, CACHE_CONTROL.as_str(), "no-store");
-    mark(&mut res, Outcome::Ran, id, note);
+    set_header(&mut res, CONTENT_TYPE.as_str(), "text/event-stream");
+    set_header(&mut res, CACHE_CONTROL.as_str(), "no-store");
+    set_request_headers(&mut res, Outcome::Ran, id, note_version);
     res
 }
 
 /// A plain service's answer.
-pub(crate) fn reply(reply: CallReply, id: &str, note: u64) -> Response<Body> {
+pub(crate) fn reply(reply: CallReply, id: &str, note_version: u64) -> Response<Body> {
     let mut res = Response::new(full_body(reply.body));
     *res.status_mut() = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::BAD_GATEWAY);
-    set(&mut res, CONTENT_TYPE.as_str(), &reply.content_type);
-    mark(&mut res, Outcome::Ran, id, note);
+    set_header(&mut res, CONTENT_TYPE.as_str(), &reply.content_type);
+    set_request_headers(&mut res, Outcome::Ran, id, note_version);
     res
 }
 
-fn mark(res: &mut Response<Body>, outcome: Outcome, id: &str, note: u64) {
-    set(res, OUTCOME_HEADER, outcome.as_str());
-    set(res, REQUEST_ID_HEADER, id);
-    set(res, NOTE_HEADER, &note.to_string());
+fn set_request_headers(res: &mut Response<Body>, outcome: Outcome, id: &str, note_version: u64) {
+    set_header(res, OUTCOME_HEADER, outcome.as_str());
+    set_header(res, REQUEST_ID_HEADER, id);
+    set_header(res, NOTE_HEADER, &note_version.to_string());
 }
 
-fn set(res: &mut Response<Body>, name: &'static str, value: &str) {
+fn set_header(res: &mut Response<Body>, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         res.headers_mut().insert(name, value);
     }
--- a/components/entry/src/traffic/route.rs
+++ b/components/entry/src/traffic/route.rs
@@ -13,7 +13,7 @@
 use super::failure::Failure;
 use super::respond::id_text;
 use super::{Context, calls, drafts, respond};
-use crate::outcomes::Remembered;
+use crate::outcomes::RequestRecord;
 use crate::view::{Serving, View};
 
 /// A request with its caller known.
@@ -49,7 +49,7 @@
             info!(cx.shared.log, "request ended without answer"; event_of(&failure),
                 "request" => &id_text, "problem" => failure.kind.name(),
                 "outcome" => failure.outcome.as_str(), "detail" => &failure.detail);
-            cx.shared.metrics.request(kind, failure.outcome);
+            cx.shared.metrics.record_request(kind, failure.outcome);
             respond::problem(&failure.problem(&id_text), note)
         }
     }
@@ -113,7 +113,7 @@
             "send Authorization: Bearer with an API key",
         ));
     };
-    if view.obeyed.state().head == 0 {
+    if view.enforced.state().head == 0 {
         check_serving(cx, view)?;
     }
     match view.workspace_of(key) {
@@ -127,11 +127,11 @@
 
 async fn read_body(cx: &Context, body: Incoming) -> Result<Bytes, Failure> {
     let settings = &cx.shared.settings;
-    let late = async {
+    let timeout = async {
         smol::Timer::after(Duration::from_millis(settings.timeouts.body_ms)).await;
         Err(HttpError::TimedOut.into())
     };
-    let read = read_limited(body, settings.limits.body_bytes).or(late).await;
+    let read = read_limited(body, settings.limits.body_bytes).or(timeout).await;
     read.map_err(|e| match e.current_context() {
         HttpError::TooLarge { limit } => Failure::refused(
             ProblemKind::BodyTooLarge,
@@ -152,12 +152,12 @@
         .ok()
         .and_then(|id| cx.shared.outcomes.get(id));
     match found {
-        Some(remembered) if remembered.workspace == *workspace => {
-            let Remembered { state, outcome, .. } = remembered;
+        Some(record) if record.workspace == *workspace => {
+            let RequestRecord { state, outcome, .. } = record;
             let answer = serde_json::json!({ "request_id": wanted, "state": state, "outcome": outcome });
             Ok(respond::json(&answer, outcome, wanted, view.declared.version))
         }
-        _ => Err(Failure::unknown(
+        _ => Err(Failure::may_have_run(
             ProblemKind::NotFound,
             "this host does not know the request",
         )),
--- a/components/entry/src/view.rs
+++ b/components/entry/src/view.rs
@@ -49,7 +49,7 @@
     /// What the release notes declare.
     pub declared: Arc<Declared>,
     /// The same with the API keys, and how far the host knows the notes.
-    pub obeyed: EnforcedNotes,
+    pub enforced: EnforcedNotes,
     /// Model engines.
     pub placement: PlacementView,
     /// Plain services.
@@ -62,7 +62,7 @@
     /// The workspace of an API key.
     pub(crate) fn workspace_of(&self, api_key: &str) -> Option<(&WorkspaceId, &Workspace)> {
         let digest = utils::digest(api_key.as_bytes());
-        let (stored, id, workspace) = self.obeyed.workspace_by_key(&digest)?;
+        let (stored, id, workspace) = self.enforced.workspace_by_key(&digest)?;
         bool::from(stored.as_bytes().ct_eq(digest.as_bytes())).then_some((id, workspace))
     }
 }
