--- a/components/entry/src/cache.rs
+++ b/components/entry/src/cache.rs
@@ -5,12 +5,12 @@
 use targets::PieceId;
 use utils::Digest;
 
-/// Where pieces are kept, as the control thread last published it.
+/// The cached location of each piece, as last published by the control thread.
 #[derive(Default)]
 pub(crate) struct CacheCell(ArcSwap<DirectoryView>);
 
 impl CacheCell {
-    /// Replaces what is known.
+    /// Replaces the published locations.
     pub(crate) fn publish(&self, view: DirectoryView) {
         self.0.store(view.into());
     }
@@ -22,7 +22,8 @@
     }
 }
 
-/// Names of the full pieces of a prompt of one workspace, for the weights that will run it.
+/// Returns the identifiers of the full pieces of a prompt. They depend on the workspace and on the weights of
+/// `deployment`.
 pub(crate) fn piece_ids(
     secret: &Digest,
     workspace: &str,
--- a/components/entry/src/claims.rs
+++ b/components/entry/src/claims.rs
@@ -13,23 +13,24 @@
 
 use crate::EntryError;
 
-/// Age after which a claim's holder has ended its call, whether it lives or not; allows for clocks that differ.
+/// Age from which a claim counts as abandoned, even if its holder is alive. It exceeds the longest call by a
+/// margin for clock skew between hosts.
 const MAX_CLAIM_AGE: Duration = Duration::from_secs(120);
 
-/// Entry hosts that the platform lists; those that leave finish what they have.
+/// Entry hosts on the platform's list. It includes hosts that are draining.
 pub(crate) type LiveHosts = Arc<ArcSwap<HashSet<HostId>>>;
 
-/// Who asks whether a claim's holder is alive.
+/// Decides whether the holder of a claim may still be alive.
 struct Liveness {
-    /// This run of this host.
+    /// This host with its incarnation.
     own: Holder,
-    /// Hosts that are listed.
+    /// Entry hosts on the platform's list.
     listed: LiveHosts,
-    /// Time.
+    /// Source of time.
     clock: Arc<dyn Clock>,
 }
 
-/// Builds the ledger. The writer runs on the control thread, whose executor is `ex`.
+/// Builds the ledger. The writer runs on the control thread with its executor `ex`.
 pub(crate) fn build(
     settings: &Settings,
     incarnation: Incarnation,
@@ -64,7 +65,8 @@
 }
 
 impl Liveness {
-    /// Whether a claim's holder may still be at work. A wrong "no" is harmless: the target is asked.
+    /// Whether the holder of a claim may still be running its call. A wrong `false` is harmless, because the
+    /// target is then asked for the outcome.
     fn is_alive(&self, row: &ClaimRow) -> bool {
         if row.holder.host == self.own.host {
             return row.holder == self.own;
--- a/components/entry/src/daemon.rs
+++ b/components/entry/src/daemon.rs
@@ -28,28 +28,28 @@
 use crate::traffic;
 use crate::view::ViewCell;
 
-/// Addresses that a running host listens on.
+/// The listen addresses of a running host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Addresses {
-    /// For callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// For operators.
+    /// Address for operators.
     pub operators: SocketAddr,
-    /// For other entry hosts, if the settings name keys.
+    /// Address for other entry hosts, if the settings have peer keys.
     pub peers: Option<SocketAddr>,
 }
 
-/// A running entry host: one control thread and several traffic threads.
+/// A running entry host with one control thread and several traffic threads.
 pub struct Daemon {
-    /// State of all threads.
+    /// State shared by all threads.
     shared: Arc<Shared>,
-    /// Where the host listens.
+    /// Listen addresses of the host.
     addresses: Addresses,
-    /// Dropped to end the traffic threads.
+    /// Dropped to stop the traffic threads once their open requests have finished.
     stop_traffic: async_channel::Sender<()>,
-    /// Dropped to end the traffic threads without finishing open work.
+    /// Closed to stop the traffic threads without finishing open requests.
     abort_traffic: async_channel::Sender<()>,
-    /// Dropped to end the control thread.
+    /// Dropped to stop the control thread.
     stop_control: async_channel::Sender<()>,
     /// The traffic threads.
     traffic: Vec<JoinHandle<()>>,
@@ -61,7 +61,7 @@
     /// Starts the threads of an entry host.
     ///
     /// # Errors
-    /// [`EntryError::Listen`] for an address that is taken; nothing runs then.
+    /// Returns [`EntryError::Listen`] if an address is already in use; no thread has been started then.
     pub fn start(settings: Settings, log: Logger) -> Result<Self, Report<EntryError>> {
         let callers = bind(settings.listen.callers)?;
         let operators = bind(settings.listen.operators)?;
@@ -104,15 +104,16 @@
         })
     }
 
-    /// Where the host listens.
+    /// Returns the listen addresses of the host.
     pub fn addresses(&self) -> Addresses {
         self.addresses
     }
 
-    /// Reports not ready, waits until the balancer has noticed, finishes all open work and joins the threads.
+    /// Reports not ready, waits until the load balancer has stopped sending requests, finishes all open
+    /// requests and joins the threads.
     ///
     /// # Errors
-    /// [`EntryError::Panicked`] if a thread did not end by itself.
+    /// Returns [`EntryError::Panicked`] if a thread panicked.
     pub fn drain(self) -> Result<(), Report<EntryError>> {
         self.shared.draining.store(true, Ordering::Release);
         info!(self.shared.log, "draining"; events::DRAIN_STARTED,
@@ -126,10 +127,11 @@
         Ok(())
     }
 
-    /// Closes every connection as it is and joins the threads, as if the process had been killed. For trials.
+    /// Closes all connections without finishing their requests and joins the threads. Tests use it to
+    /// simulate a killed process.
     ///
     /// # Errors
-    /// [`EntryError::Panicked`] if a thread did not end by itself.
+    /// Returns [`EntryError::Panicked`] if a thread panicked.
     pub fn abort(self) -> Result<(), Report<EntryError>> {
         self.abort_traffic.close();
         self.join()
@@ -191,7 +193,7 @@
     Ok((shared, writer, commands))
 }
 
-/// The run of this process: grows with each start of the same host.
+/// Returns the incarnation of this process. It grows with each start of the host.
 fn incarnation(clock: &dyn Clock) -> Incarnation {
     let since = clock.wall().duration_since(SystemTime::UNIX_EPOCH);
     since.map_or(1, |since| since.as_nanos() as u64)
--- a/components/entry/src/gate.rs
+++ b/components/entry/src/gate.rs
@@ -5,26 +5,27 @@
 
 use crate::view::Serving;
 
-/// Until when the host may take new work, and which change its view must hold at least.
+/// The time until which the host may accept new requests, and the oldest change that its view must contain.
 ///
-/// The control thread writes it after it has published a view, the traffic threads read it without a lock.
+/// The control thread updates the gate after it has published a view. The traffic threads read it without a
+/// lock.
 #[derive(Debug, Default)]
 pub(crate) struct NoteGate {
-    /// Change that a view must hold.
+    /// Highest change published so far. An older view accepts no new requests.
     highest: AtomicU64,
-    /// End of the time in which the host may take new work, in nanoseconds of the host's clock.
+    /// Time until which the host may accept new requests, in nanoseconds of its monotonic clock.
     serves_until: AtomicU64,
 }
 
 impl NoteGate {
-    /// Lets work in until a moment, under views that hold at least this state.
+    /// Permits new requests until `serves_until`, under views with at least the changes of `state`.
     pub(crate) fn open(&self, state: &NoteState, serves_until: Monotonic) {
         self.highest.fetch_max(state.highest(), Ordering::AcqRel);
         let nanos = u64::try_from(serves_until.as_nanos()).unwrap_or(u64::MAX);
         self.serves_until.store(nanos, Ordering::Release);
     }
 
-    /// Whether new work may be taken now under a view of this state.
+    /// Returns whether the host may accept new requests under a view with `state`.
     pub(crate) fn serving(&self, state: &NoteState, now: Monotonic) -> Serving {
         if state.head == 0 {
             return Serving::NoNote;
@@ -45,7 +46,7 @@
     use super::*;
 
     #[test]
-    fn an_older_view_takes_no_new_work() {
+    fn an_outdated_view_accepts_no_new_requests() {
         let gate = NoteGate::default();
         let state = |head, staged| NoteState {
             head,
--- a/components/entry/src/lib.rs
+++ b/components/entry/src/lib.rs
@@ -1,4 +1,4 @@
-//! The entry daemon: takes requests from callers, places them and relays the answers.
+//! The entry daemon accepts requests from callers, places them on targets and relays the answers.
 
 mod cache;
 mod claims;
--- a/components/entry/src/limits.rs
+++ b/components/entry/src/limits.rs
@@ -8,69 +8,69 @@
 use policy::{DemandMeter, TokenBucket, rate_share};
 use utils::{Monotonic, WorkspaceId};
 
-/// Parts of the table of accounts; requests of different workspaces rarely meet in one.
+/// Number of shards of the account table. Requests of different workspaces rarely contend for one lock.
 const SHARD_COUNT: usize = 32;
-/// Seconds of its rate that a workspace may use at once.
+/// Burst of a workspace, in seconds of its rate.
 const BURST_SECONDS: f64 = 1.0;
-/// Weight of earlier periods in the demand that is reported.
+/// Weight of earlier periods in the reported demand.
 const DEMAND_HISTORY_WEIGHT: f64 = 0.5;
-/// Demand below this is not reported, in requests a second.
+/// Minimum demand that is reported, in requests per second.
 const MIN_DEMAND: f64 = 0.01;
 
-/// What a workspace asked of a host lately, a second.
+/// Recent demand of a workspace at a host.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub(crate) struct DemandRates {
-    /// Requests.
+    /// Requests per second.
     pub requests: f64,
-    /// Prompt tokens.
+    /// Prompt tokens per second.
     pub tokens: f64,
 }
 
-/// Which limit a request is over.
+/// The limit that a request exceeds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum OverLimit {
-    /// Requests or prompt tokens a second; the time until there is room.
+    /// Rate of requests or prompt tokens, with the time until the next attempt can succeed.
     Rate(Duration),
-    /// Streams open at once.
+    /// Number of open streams.
     OpenStreams,
 }
 
-/// Holds workspaces to this host's part of their limits.
+/// Enforces this host's share of the limits of each workspace.
 #[derive(Debug)]
 pub(crate) struct Limiter {
-    /// Accounts by workspace.
+    /// Accounts by workspace, in shards with a lock each.
     shards: Vec<Mutex<HashMap<WorkspaceId, Account>>>,
-    /// Chooses the part.
+    /// Hashes a workspace to its shard.
     hasher: RandomState,
 }
 
 /// Counts one open stream of a workspace until it is dropped.
 #[derive(Debug)]
 pub(crate) struct AccountGuard {
-    /// Where the account is.
+    /// Limiter that holds the account.
     limiter: Arc<Limiter>,
     /// The workspace.
     workspace: WorkspaceId,
 }
 
-/// One workspace at this host.
+/// Usage and limits of one workspace at this host.
 #[derive(Debug)]
 struct Account {
-    /// Name of the workspace in heartbeats.
+    /// Tag of the workspace in heartbeats.
     tag: WorkspaceTag,
-    /// Requests.
+    /// Rate limit of requests.
     requests: TokenBucket,
-    /// Prompt tokens.
+    /// Rate limit of prompt tokens.
     tokens: TokenBucket,
     /// Demand for requests, admitted or not.
     requests_offered: DemandMeter,
     /// Demand for prompt tokens, admitted or not.
     tokens_offered: DemandMeter,
-    /// Streams that are open.
+    /// Number of open streams.
     open: u32,
-    /// The limits that the parts are taken of.
+    /// Limits of the workspace over all hosts.
     limits: Limits,
-    /// This host's part of the limits.
+    /// This host's share of the rate limits.
     share: DemandRates,
 }
 
@@ -84,7 +84,7 @@
 }
 
 impl Limiter {
-    /// Admits a request, or says which limit it is over.
+    /// Admits a request, or returns the limit that it exceeds.
     pub(crate) fn admit(
         self: &Arc<Self>,
         workspace: &WorkspaceId,
@@ -104,7 +104,8 @@
         })
     }
 
-    /// Ends a period: sets this host's parts from what other hosts reported, and gives its own demand.
+    /// Ends a reporting period: recomputes this host's shares from the reports of other hosts and returns the
+    /// demand at this host. Removes accounts without demand and open streams.
     pub(crate) fn end_period(
         &self,
         reports: &[&HashMap<WorkspaceTag, DemandRates>],
@@ -134,7 +135,7 @@
 }
 
 impl Account {
-    /// An account of a workspace that no host has reported: each host takes an equal part.
+    /// Creates an account with an equal share for each host, as no demand has been reported yet.
     fn new(workspace: &str, limits: Limits, hosts: u32, now: Monotonic) -> Self {
         let fraction = 1.0 / f64::from(hosts.max(1));
         let share = DemandRates {
@@ -168,7 +169,7 @@
         Ok(())
     }
 
-    /// Takes over limits that a release note changed, at the part that this host had.
+    /// Applies limits that a release note changed. This host keeps its fraction of them.
     fn apply_limits(&mut self, limits: &Limits, now: Monotonic) {
         if self.limits == *limits {
             return;
@@ -195,7 +196,7 @@
             requests: self.requests_offered.report(DEMAND_HISTORY_WEIGHT, now),
             tokens: self.tokens_offered.report(DEMAND_HISTORY_WEIGHT, now),
         };
-        // Without any report the load is taken to be spread evenly, as a new account does.
+        // Without a report the equal share of a new account stays.
         let report_count = reported.clone().count();
         if report_count > 0 || hosts <= 1 {
             let others = f64::from(hosts.saturating_sub(1)) / report_count.max(1) as f64;
@@ -219,7 +220,7 @@
         self.share = share;
     }
 
-    /// This host's part of the streams that may be open, at least one.
+    /// Returns the maximum number of open streams at this host, at least 1.
     fn open_limit(&self) -> u32 {
         let fraction = self.share.requests / self.limits.requests_per_second.max(f64::MIN_POSITIVE);
         let limit = fraction.min(1.0) * f64::from(self.limits.open_streams);
@@ -235,8 +236,9 @@
     }
 }
 
-/// This host's part of a limit, by its own demand and that of all other hosts. The hosts that reported
-/// stand for those that were not, so that the cost does not grow with the number of hosts.
+/// Returns this host's share of a limit, from its own demand and the total demand at all other hosts.
+/// Callers extrapolate that total from the hosts that reported, so the cost does not grow with the number of
+/// hosts.
 fn share_of_limit(limit: f64, own: f64, others: f64) -> f64 {
     if others > 0.0 {
         rate_share(limit, own, [own, others])
@@ -245,7 +247,7 @@
     }
 }
 
-/// Tokens that a bucket of this rate holds; at least one request fits.
+/// Returns the capacity of a token bucket with this rate. It is at least 1, which lets one request pass.
 fn burst(rate: f64) -> f64 {
     (rate * BURST_SECONDS).max(1.0)
 }
@@ -264,7 +266,8 @@
         open_streams: 1_000_000,
     };
 
-    /// Requests that hosts admit in ten seconds when each is offered its number of requests a second.
+    /// Returns the number of requests that the hosts admit in the last 10 of 20 seconds. `offered` holds the
+    /// requests per second at each host.
     fn admitted(offered: &[u32], with_reports: bool) -> usize {
         let workspace: WorkspaceId = "mill".into();
         let limiters: Vec<_> = offered.iter().map(|_| Arc::new(Limiter::default())).collect();
@@ -311,7 +314,7 @@
     }
 
     #[test]
-    fn a_closed_stream_makes_room() {
+    fn a_closed_stream_frees_its_slot() {
         let limiter = Arc::new(Limiter::default());
         let limits = Limits {
             open_streams: 1,
--- a/components/entry/src/metrics.rs
+++ b/components/entry/src/metrics.rs
@@ -9,17 +9,17 @@
 
 use crate::EntryError;
 
-/// The host's metrics, recorded by opentelemetry and read as Prometheus text.
+/// Metrics of the host, recorded with OpenTelemetry and exported in the Prometheus text format.
 pub(crate) struct Metrics {
-    /// Collects what the instruments record.
+    /// Registry that the exporter writes to.
     registry: Registry,
-    /// Keeps the instruments alive.
+    /// Keeps the instruments connected to the exporter.
     _provider: SdkMeterProvider,
     /// Requests by kind and outcome.
     requests: Counter<u64>,
-    /// Tries at targets by result.
+    /// Attempts at targets by result.
     attempts: Counter<u64>,
-    /// Time from a request to its first token, in seconds.
+    /// Time from the arrival of a request to its first token, in seconds.
     first_token: Histogram<f64>,
     /// Tokens relayed to callers.
     tokens: Counter<u64>,
@@ -67,10 +67,10 @@
         self.tokens.add(count, &[]);
     }
 
-    /// All metrics in the Prometheus text format.
+    /// Returns all metrics in the Prometheus text format.
     pub(crate) fn text(&self) -> Vec<u8> {
         let mut buf = Vec::new();
-        // Encoding into memory fails only for families without metrics, which are left out then.
+        // Encoding into memory fails only for a family without metrics, and `gather` leaves those out.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut buf);
         buf
     }
--- a/components/entry/src/observe.rs
+++ b/components/entry/src/observe.rs
@@ -6,62 +6,63 @@
 use targets::{PieceId, TargetError};
 use utils::{WeightVersion, WorkspaceId};
 
-/// Observations that wait for the control thread.
+/// Maximum number of observations queued for the control thread.
 const QUEUE_LENGTH: usize = 4_096;
 
-/// What a traffic thread tells the control thread.
+/// An event that a traffic thread reports to the control thread.
 #[derive(Debug, Clone)]
 pub(crate) enum Observation {
     /// A draft was sent to a target.
     Sent {
         /// The target.
         key: CandidateKey,
-        /// Prompt tokens sent.
+        /// Number of prompt tokens sent.
         tokens: u32,
     },
-    /// A target has processed a prompt: its pieces are in the target's cache now.
+    /// A target has processed a prompt, so the pieces of the prompt are in its cache.
     Prefilled {
         /// The target.
         key: CandidateKey,
-        /// Workspace that the prompt belongs to.
+        /// Workspace of the prompt.
         workspace: WorkspaceId,
-        /// Weight version that ran.
+        /// Weight version that processed the prompt.
         weight_version: WeightVersion,
-        /// Names of the prompt's full pieces.
+        /// Identifiers of the prompt's full pieces.
         pieces: Arc<[PieceId]>,
     },
-    /// A target was told to read a piece from a store.
+    /// A target was asked to import a piece from a store.
     FetchStarted {
         /// Address of the store.
         store: SocketAddr,
     },
-    /// The transfer of a piece from a store has ended.
+    /// The import of a piece from a store has ended.
     FetchEnded {
         /// Address of the store.
         store: SocketAddr,
-        /// Whether the target has the piece now.
+        /// Whether the target has imported the piece.
         is_complete: bool,
     },
-    /// A draft is no longer open at a target.
+    /// A draft is no longer in flight at a target.
     Ended {
         /// The target.
         key: CandidateKey,
     },
-    /// A try at a target failed.
+    /// An attempt at a target failed.
     Failed {
         /// The target.
         key: CandidateKey,
-        /// Why.
+        /// Reason of the failure.
         failure: TargetError,
     },
 }
 
-/// The traffic threads' end of the channel to the control thread. A full channel drops and counts.
+/// The sending side of the channel from the traffic threads to the control thread. If the channel is full,
+/// observations are dropped and counted.
 #[derive(Debug)]
 pub(crate) struct Observer {
-    /// Sends to the control thread.
+    /// Sender to the control thread.
     tx: async_channel::Sender<Observation>,
-    /// Observations that were dropped.
+    /// Number of dropped observations.
     dropped: AtomicU64,
 }
 
--- a/components/entry/src/operators.rs
+++ b/components/entry/src/operators.rs
@@ -10,34 +10,34 @@
 use crate::shared::Shared;
 use crate::view::Serving;
 
-/// What `GET /v1/state` answers.
+/// Body of the answer to `GET /v1/state`.
 #[derive(Serialize)]
 struct State<'a> {
     /// Name of the host.
     host: &'a str,
-    /// Run of the process.
+    /// Incarnation of the process, in hexadecimal.
     incarnation: String,
-    /// Version of the release notes in force here.
+    /// Version of the release notes in force at this host.
     note_version: u64,
-    /// Whether the host takes new work.
+    /// Whether the host accepts new requests.
     serving: Serving,
-    /// Number of the staged change that the host obeys too.
+    /// Number of the staged change that the host also enforces.
     staged: Option<u64>,
-    /// Whether the host is on its way out.
+    /// Whether the host is draining.
     draining: bool,
-    /// Streams that are open.
+    /// Number of open streams.
     open_streams: usize,
-    /// Engines and their state.
+    /// Engines with their state.
     engines: Vec<(&'a str, policy::TargetState)>,
-    /// Plain services.
+    /// Targets of plain services.
     services: Vec<&'a str>,
-    /// Requests that were aboard crashes and have not ended well since.
+    /// Requests that ran on a target when it crashed and have not succeeded since.
     suspects: Vec<SuspectState>,
-    /// Observations that the control thread never saw.
+    /// Number of observations dropped because the queue to the control thread was full.
     observations_dropped: u64,
 }
 
-/// Serves the operators' address until `stop` resolves.
+/// Serves operators until `stop` resolves.
 pub(crate) async fn serve(shared: Arc<Shared>, listener: TcpListener, ex: Executor, stop: Shutdown) {
     let Ok(server) = Server::from_std(listener, ServerConfig::default()) else {
         return;
--- a/components/entry/src/outcomes.rs
+++ b/components/entry/src/outcomes.rs
@@ -5,44 +5,44 @@
 use serde::Serialize;
 use utils::{RequestId, WorkspaceId};
 
-/// Requests whose records a host keeps.
+/// Maximum number of request records that a host keeps.
 const MAX_RECORDS: usize = 20_000;
-/// Records that wait for the control thread.
+/// Maximum number of records queued for the control thread.
 const QUEUE_LENGTH: usize = 4_096;
 
-/// Where the control thread takes records from.
+/// Channel from which the control thread receives records.
 pub(crate) type Records = async_channel::Receiver<(RequestId, RequestRecord)>;
 
-/// What became of a request.
+/// The last known state and outcome of a request.
 #[derive(Debug, Clone)]
 #[derive(Serialize)]
 pub(crate) struct RequestRecord {
     /// Workspace of the caller.
     pub workspace: WorkspaceId,
-    /// State of the request, as in its chart.
+    /// State of the request, named as in the state chart of requests.
     pub state: &'static str,
-    /// What is known about whether it ran.
+    /// Whether the request ran, as far as known.
     pub outcome: Outcome,
-    /// The last placement as it was logged, JSON.
+    /// The last placement as logged, in JSON.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub placement: Option<String>,
 }
 
-/// The latest requests of this host, oldest dropped first. Traffic threads only send records; the control
-/// thread stores them, so that no request waits for a lock.
+/// Records of the latest requests at this host; the oldest are dropped first. Traffic threads send records to
+/// the control thread, which stores them, so recording never waits for a lock.
 #[derive(Debug)]
 pub(crate) struct Outcomes {
-    /// Sends records to the control thread; a full channel drops them.
+    /// Sender to the control thread. Records are dropped while the channel is full.
     tx: async_channel::Sender<(RequestId, RequestRecord)>,
-    /// Requests by identifier, and their order.
+    /// Stored records.
     stored: Mutex<StoredRecords>,
 }
 
 #[derive(Debug, Default)]
 struct StoredRecords {
-    /// Requests by identifier.
+    /// Records by request.
     by_id: HashMap<RequestId, RequestRecord>,
-    /// Identifiers, oldest first.
+    /// Requests with a record, oldest first.
     order: VecDeque<RequestId>,
 }
 
@@ -63,7 +63,7 @@
         let _ = self.tx.try_send((id, record));
     }
 
-    /// Stores a record; a record without placement keeps the one before.
+    /// Stores a record. If it has no placement, the placement of the previous record of the request is kept.
     pub(crate) fn store(&self, id: RequestId, mut record: RequestRecord) {
         let mut stored = self.lock();
         match stored.by_id.get_mut(&id) {
--- a/components/entry/src/quarantine.rs
+++ b/components/entry/src/quarantine.rs
@@ -8,74 +8,75 @@
 use serde::Serialize;
 use utils::{Digest, HostId, Incarnation, TargetId, WorkspaceId};
 
-/// Time after which a suspect's try that was not reported no longer keeps equal requests waiting.
+/// Time after which an attempt without a reported outcome no longer blocks equal requests or its target.
 pub(crate) const MAX_ATTEMPT_TIME: Duration = Duration::from_secs(60);
-/// Commands that wait for the control thread.
+/// Maximum number of commands queued for the control thread.
 const QUEUE_LENGTH: usize = 4_096;
-/// Scans of the table that fit into the time for which a failure is held back.
+/// Number of scan intervals after which every host has read a written row. A failure is held back that long.
 const SCANS_UNTIL_VISIBLE: f64 = 1.5;
 
-/// What the control thread brings to the table service.
+/// A change to the table service that the control thread makes for a traffic thread.
 #[derive(Debug)]
 pub(crate) enum TableCommand {
-    /// Rows to merge, and who waits for what the table holds then.
+    /// Merges rows into the table.
     Merge {
         /// The rows.
         rows: Vec<(Fingerprint, Suspicion)>,
-        /// Told the merged rows once they are written.
+        /// Receives the merged rows once they are written.
         done: async_channel::Sender<Vec<(Fingerprint, Suspicion)>>,
     },
-    /// A row to remove.
+    /// Removes the row of a request.
     Remove(Fingerprint),
-    /// A suspect's try wants a target for which no other suspect's try holds a row, at any host.
+    /// Claims a target for an attempt of a suspect. It is granted if no attempt of another suspect holds the
+    /// target's row, at any host.
     Claim {
         /// The target.
         target: TargetId,
-        /// The try.
+        /// The attempt.
         id: TryId,
-        /// Told whether the try has the target.
+        /// Receives whether the claim is granted.
         done: async_channel::Sender<bool>,
     },
-    /// A try no longer needs its target.
+    /// Releases the claim of an attempt.
     Release {
         /// The target.
         target: TargetId,
-        /// The try.
+        /// The attempt.
         id: TryId,
     },
 }
 
-/// What operators see of a request that was aboard a crash.
+/// State of a suspect, for operators. A suspect is a request that ran on a target when it crashed.
 #[derive(Debug, Clone)]
 #[derive(Serialize)]
 pub(crate) struct SuspectState {
-    /// Names the request.
+    /// Fingerprint of the request.
     fingerprint: Fingerprint,
-    /// Crashes that count.
+    /// Number of crashes that are not excused.
     crashes: usize,
-    /// Targets that crashed.
+    /// Targets that crashed while they ran the request.
     targets: Vec<TargetId>,
-    /// Whether the request is refused.
+    /// Whether the request is quarantined, which means that it is refused.
     quarantined: bool,
 }
 
-/// Requests that were aboard crashes, as this host knows them. The lock is held for a few map operations once or twice a
-/// try, and never while waiting.
+/// Suspects known to this host: requests that ran on a target when it crashed. The lock is held for a few map
+/// operations once or twice per attempt, and never across an await.
 #[derive(Debug)]
 pub(crate) struct Suspects {
     /// Key of the fingerprints.
     key: Digest,
-    /// Name of this host.
+    /// Identifier of this host.
     host: HostId,
-    /// Time from a written row until every host that reads the table knows it.
+    /// Time from writing a row until every host that can read the table has read it.
     pub propagation_time: Duration,
-    /// Gives permits.
+    /// Crash histories and running attempts; decides which attempts may run.
     quarantine: Mutex<Quarantine>,
-    /// Last known run of each target's process.
+    /// Last known incarnation of each target's process.
     incarnations: Mutex<HashMap<TargetId, Incarnation>>,
-    /// Number of the next try; starts at random, so that a restarted host does not use a number again.
+    /// Number of the next attempt. It starts at the incarnation, so a restarted host does not reuse numbers.
     next_attempt: AtomicU64,
-    /// To the control thread.
+    /// Sender of commands to the control thread.
     commands: async_channel::Sender<TableCommand>,
 }
 
@@ -98,12 +99,12 @@
         (suspects, rx)
     }
 
-    /// Names a request.
+    /// Returns the fingerprint of a request.
     pub(crate) fn fingerprint(&self, workspace: &WorkspaceId, body: &[u8]) -> Fingerprint {
         fingerprint(&self.key, workspace, body)
     }
 
-    /// Names a new try of this host.
+    /// Returns the identifier of a new attempt of this host.
     pub(crate) fn new_attempt_id(&self) -> TryId {
         TryId {
             host: self.host.clone(),
@@ -115,12 +116,12 @@
         self.quarantine.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes which process answers at a target.
+    /// Records the incarnation of the process that answered at a target.
     pub(crate) fn record_incarnation(&self, target: &TargetId, incarnation: Incarnation) {
         self.incarnations().insert(target.clone(), incarnation);
     }
 
-    /// The process that answered last at a target.
+    /// Returns the incarnation of the process that last answered at a target.
     pub(crate) fn incarnation(&self, target: &TargetId) -> Option<Incarnation> {
         self.incarnations().get(target).copied()
     }
@@ -129,7 +130,8 @@
         self.incarnations.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Hands rows to the control thread. The receiver is told what the table holds once they are written.
+    /// Sends rows to the control thread, which merges them into the table. The receiver yields the merged
+    /// rows once they are written.
     pub(crate) fn merge_rows(
         &self,
         rows: Vec<(Fingerprint, Suspicion)>,
@@ -139,24 +141,26 @@
         written
     }
 
-    /// Asks for a target, alone among the suspects of all hosts.
+    /// Claims a target exclusively among the suspects of all hosts. The receiver yields whether it is
+    /// granted.
     pub(crate) fn claim(&self, target: TargetId, id: TryId) -> async_channel::Receiver<bool> {
         let (done, granted) = async_channel::bounded(1);
         let _ = self.commands.try_send(TableCommand::Claim { target, id, done });
         granted
     }
 
-    /// Gives a target back.
+    /// Releases the claim of an attempt on a target.
     pub(crate) fn release(&self, target: TargetId, id: TryId) {
         let _ = self.commands.try_send(TableCommand::Release { target, id });
     }
 
-    /// Removes a row, which clears the request at every host; false if too much waits.
+    /// Queues the removal of a request's row, which clears the request at every host. Returns `false` if the
+    /// queue is full.
     pub(crate) fn clear(&self, request: Fingerprint) -> bool {
         self.commands.try_send(TableCommand::Remove(request)).is_ok()
     }
 
-    /// What operators see.
+    /// Returns the state of all suspects, for operators.
     pub(crate) fn states(&self) -> Vec<SuspectState> {
         let quarantine = self.quarantine();
         let states = quarantine.suspects().map(|(request, suspicion)| SuspectState {
--- a/components/entry/src/resume.rs
+++ b/components/entry/src/resume.rs
@@ -7,27 +7,27 @@
 use subtle::ConstantTimeEq;
 use utils::{Attempt, Digest, ModelId, RequestId, WeightVersion, WorkspaceId};
 
-/// Bytes of the authentication tag at the end of a token.
+/// Length of the authentication tag at the end of a token, in bytes.
 const TAG_BYTES: usize = 16;
-/// Age after which a token is refused.
+/// Age after which a token is rejected.
 pub(crate) const TOKEN_LIFETIME: Duration = Duration::from_secs(15 * 60);
 
-/// Why a resume token is refused.
+/// Reason why a resume token is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub(crate) enum TokenError {
-    /// The token was not made with the shared secret, or was changed.
+    /// The token was not made with the shared secret, or was altered.
     #[error("the token is not authentic")]
     Forged,
     /// The token belongs to another workspace.
     #[error("the token belongs to another workspace")]
     WrongWorkspace,
-    /// The token is too old.
+    /// The token is older than [`TOKEN_LIFETIME`].
     #[error("the token has expired")]
     Expired,
 }
 
-/// Where a stream stands; goes to the caller as the `id` of each event.
+/// The position from which a stream can be resumed. The caller receives it as the `id` of each event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct ResumePoint {
@@ -35,25 +35,25 @@
     pub request_id: RequestId,
     /// Workspace of the caller.
     pub workspace: WorkspaceId,
-    /// Model that runs.
+    /// Model of the request.
     pub model: ModelId,
-    /// Weight version that runs.
+    /// Weight version of the answer.
     pub weight_version: WeightVersion,
-    /// Engine that runs the draft.
+    /// Address of the engine that runs the draft.
     pub address: SocketAddr,
-    /// Number of the last try.
+    /// Number of the last attempt.
     pub attempt: Attempt,
-    /// Tokens that the caller has after this event.
+    /// Number of tokens that the caller has after this event.
     pub offset: u32,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
     /// Whether the answer is in the chat format.
     pub chat: bool,
-    /// When the draft began, in seconds since 1970.
+    /// When the token was issued, in seconds since 1970.
     pub began: u64,
 }
 
-/// Makes and checks resume tokens.
+/// Signs and verifies resume tokens.
 #[derive(Debug, Clone)]
 pub(crate) struct TokenSigner {
     /// Key of the BLAKE3 tags.
@@ -65,7 +65,7 @@
         Self { key }
     }
 
-    /// The token of a point.
+    /// Returns the signed token of a point.
     pub(crate) fn sign(&self, point: &ResumePoint) -> String {
         let mut bytes = postcard::to_stdvec(point).unwrap_or_default();
         let tag = blake3::keyed_hash(self.key.as_bytes(), &bytes);
@@ -73,10 +73,10 @@
         BASE64URL_NOPAD.encode(&bytes)
     }
 
-    /// The point of a token that a caller of `workspace` sent.
+    /// Verifies a token from a caller of `workspace` and returns its point.
     ///
     /// # Errors
-    /// [`TokenError`] if the token is not to be trusted.
+    /// Returns a [`TokenError`] if the token is not authentic, has expired or belongs to another workspace.
     pub(crate) fn verify(
         &self,
         token: &str,
@@ -129,14 +129,14 @@
     }
 
     #[test]
-    fn opens_what_it_sealed() {
+    fn verifies_its_own_token() {
         let token_signer = TokenSigner::new(utils::digest(b"secret"));
         let token = token_signer.sign(&point());
         assert_eq!(token_signer.verify(&token, "mill", at(1_010)).unwrap(), point());
     }
 
     #[test]
-    fn refuses_forged_foreign_and_expired_tokens() {
+    fn rejects_forged_tokens_tokens_of_other_workspaces_and_expired_tokens() {
         let token_signer = TokenSigner::new(utils::digest(b"secret"));
         let token = token_signer.sign(&point());
         let other = TokenSigner::new(utils::digest(b"other"));
--- a/components/entry/src/retries.rs
+++ b/components/entry/src/retries.rs
@@ -3,13 +3,13 @@
 use policy::{Backoff, FailedTry, NextTry, RetryBudget, next_try};
 use utils::Monotonic;
 
-/// Retries that one success adds to the budget.
+/// Number of retries that a success adds to the budget.
 const BUDGET_SHARE: f64 = 0.1;
 
 /// The host's retry budget, shared by the traffic threads without a lock.
 #[derive(Debug)]
 pub(crate) struct Retries {
-    /// Bits of the retries that are left.
+    /// Bits of the number of available retries, an `f64`.
     left: AtomicU64,
 }
 
@@ -23,13 +23,13 @@
 }
 
 impl Retries {
-    /// Decides whether a draft is tried again.
+    /// Decides whether and when a failed draft is retried, and takes the retry from the budget.
     pub(crate) fn decide(&self, failed: &FailedTry, now: Monotonic) -> NextTry {
         let jitter = rand::random::<f64>();
         self.update(|budget| next_try(failed, budget, &Backoff::default(), jitter, now))
     }
 
-    /// Counts a success.
+    /// Records a success. `is_retry` is whether it took a retry, which is then refunded.
     pub(crate) fn record_success(&self, is_retry: bool) {
         self.update(|budget| budget.record_success(is_retry));
     }
--- a/components/entry/src/shared.rs
+++ b/components/entry/src/shared.rs
@@ -19,45 +19,45 @@
 use crate::retries::Retries;
 use crate::view::{Serving, View, ViewCell};
 
-/// What all threads of a host share. Nothing here is locked on the way of a token.
+/// State shared by all threads of a host. Relaying a token takes none of its locks.
 pub(crate) struct Shared {
     /// Settings.
     pub settings: Settings,
-    /// Run of this process.
+    /// Incarnation of this process.
     pub incarnation: Incarnation,
     /// Source of time.
     pub clock: Arc<dyn Clock>,
-    /// Log.
+    /// Logger of the host.
     pub log: Logger,
-    /// Metrics.
+    /// Metrics of the host.
     pub metrics: Metrics,
-    /// The published view.
+    /// View last published by the control thread.
     pub view: ViewCell,
-    /// Until when the host may take new work, and under which notes.
+    /// Decides whether new requests may be accepted under a view.
     pub gate: NoteGate,
-    /// Where pieces of prompts are kept.
+    /// Cached locations of the pieces of prompts.
     pub cache: Arc<CacheCell>,
-    /// Decides where prompts run.
+    /// Chooses the target of a prompt.
     pub placer: Arc<dyn Placer>,
-    /// Makes and checks resume tokens.
+    /// Signs and verifies resume tokens.
     pub token_signer: TokenSigner,
-    /// Tells the control thread what happened.
+    /// Reports events to the control thread.
     pub observer: Observer,
-    /// The latest requests.
+    /// Records of the latest requests.
     pub outcomes: Outcomes,
-    /// Claims calls that must not be repeated.
+    /// Claims calls that must run at most once.
     pub ledger: LedgerHandle,
-    /// Requests that were aboard crashes.
+    /// Requests that ran on a target when it crashed.
     pub suspects: Suspects,
-    /// Holds workspaces to their limits.
+    /// Enforces the limits of workspaces.
     pub limiter: Arc<Limiter>,
     /// The retry budget.
     pub retries: Retries,
-    /// Entry hosts that the platform lists.
+    /// Entry hosts on the platform's list.
     pub live_hosts: LiveHosts,
-    /// Whether the host is on its way out.
+    /// Whether the host is draining.
     pub draining: AtomicBool,
-    /// Streams that are open.
+    /// Number of open streams.
     pub open_streams: AtomicUsize,
 }
 
@@ -69,12 +69,13 @@
         self.draining.load(Ordering::Acquire)
     }
 
-    /// Whether new work may be taken under a view. Asked at admission and again before each dispatch.
+    /// Returns whether new requests may be accepted under a view. It is checked at admission and again before
+    /// each dispatch.
     pub(crate) fn serving(&self, view: &View) -> Serving {
         self.gate.serving(&view.enforced.state(), self.clock.now())
     }
 
-    /// Counts a stream; `None` if the host has too many.
+    /// Counts an open stream. Returns `None` if the host has reached its limit.
     pub(crate) fn open_stream(self: &Arc<Self>) -> Option<StreamGuard> {
         let before = self.open_streams.fetch_add(1, Ordering::AcqRel);
         let guard = StreamGuard(self.clone());
--- a/components/entry/src/traffic/admit.rs
+++ b/components/entry/src/traffic/admit.rs
@@ -7,11 +7,11 @@
 use crate::limits::{AccountGuard, OverLimit};
 use crate::shared::StreamGuard;
 
-/// A request that counts as open until it is dropped.
+/// Counts a request as open at the host and in its workspace until it is dropped.
 pub(crate) struct AdmissionGuard {
-    /// Its place on the host.
+    /// Counts the stream at the host.
     _host: StreamGuard,
-    /// Its place in the workspace's account; a resumed stream has none.
+    /// Counts the stream in the account of the workspace; `None` for a resumed stream.
     _account: Option<AccountGuard>,
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// Admits a stream that goes on; its workspace was charged when it began.
+/// Admits a resumed stream. It is not charged to the workspace, which was charged when the stream began.
 pub(crate) fn admit_resumed(cx: &Context) -> Result<AdmissionGuard, Failure> {
     Ok(AdmissionGuard {
         _host: open_stream(cx)?,
--- a/components/entry/src/traffic/calls.rs
+++ b/components/entry/src/traffic/calls.rs
@@ -68,7 +68,7 @@
     ))
 }
 
-/// Sends a call that may be repeated to one target of the service.
+/// Sends a repeatable call to one target of the service.
 async fn send(
     cx: &Context,
     received: &Received,
@@ -89,7 +89,7 @@
     })
 }
 
-/// Sends a call to a target, once.
+/// Sends a call to a target once, without retries.
 pub(crate) async fn call_target(
     cx: &Context,
     req: &CallRequest,
@@ -107,7 +107,7 @@
     result.map_err(|e| *e.current_context())
 }
 
-/// Keeps what became of a call for whoever asks for it.
+/// Records the outcome of a call, for later lookups and for the metrics.
 pub(crate) fn record_outcome(cx: &Context, received: &Received, outcome: Outcome) {
     let state = match outcome {
         Outcome::Ran => "answered",
@@ -124,7 +124,7 @@
     cx.shared.metrics.record_request("call", outcome);
 }
 
-/// Chooses a target of the service, in this failure domain if there is one.
+/// Chooses a random target of the service, from this host's failure domain if it has a usable one.
 pub(crate) fn choose_target<'a>(
     cx: &Context,
     received: &'a Received,
--- a/components/entry/src/traffic/drafts.rs
+++ b/components/entry/src/traffic/drafts.rs
@@ -25,53 +25,53 @@
 use crate::resume::ResumePoint;
 use crate::view::View;
 
-/// Bytes of prompt text that count as one token.
+/// Number of bytes of prompt text that count as one token.
 const BYTES_PER_TOKEN: usize = 4;
-/// Most targets tried for one draft.
+/// Maximum number of targets that are tried for a draft.
 const MAX_TARGETS: u32 = 4;
-/// Status with which an engine says that it does not hold a draft.
+/// HTTP status of an engine that does not hold the draft to resume.
 const STATUS_NO_SUCH_DRAFT: u16 = 404;
 
-/// A stream and the event that was read from it first.
+/// A stream and its first event.
 type FirstEvent = (Box<dyn DraftStream>, DraftEvent);
 
-/// A draft on its way.
+/// A draft request that is being served.
 pub(crate) struct Draft {
-    /// The thread's context.
+    /// Context of the traffic thread.
     pub cx: Context,
-    /// The request.
+    /// Request as received from the caller.
     pub received: Received,
-    /// What goes to the engine.
+    /// Request for the engine.
     pub req: DraftRequest,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// Whether the answer is in the chat format.
+    /// Whether the answer has the chat format.
     pub chat: bool,
-    /// When the request came.
+    /// When the request began.
     pub began: Monotonic,
-    /// When the first token is due.
+    /// Deadline of the first token.
     pub deadline: Monotonic,
-    /// Targets that failed.
+    /// Targets that failed and are excluded from placement.
     pub excluded: Vec<TargetId>,
     /// Whether a target may have run the request.
     pub may_have_run: bool,
-    /// Watches the tries for crashes; `None` for a draft that is only resumed.
+    /// Watches the attempts for crashes of their targets; `None` for a resumed draft.
     pub watch: Option<CrashWatch>,
-    /// Counts the draft at the target that it was sent to last.
+    /// Counts the draft as in flight at the target that it was last sent to.
     pub in_flight: Option<InFlightGuard>,
 }
 
-/// A draft whose first event arrived.
+/// A draft whose first event has arrived.
 pub(crate) struct Opened {
-    /// Where it runs.
+    /// Placement of the draft.
     pub chosen: Chosen,
-    /// Its events.
+    /// Remaining events of the draft.
     pub stream: Box<dyn DraftStream>,
     /// The first event.
     pub first: DraftEvent,
 }
 
-/// Answers a completion request, or resumes a stream.
+/// Answers a completion request, or resumes its stream if the request has a resume token.
 pub(crate) async fn answer(cx: &Context, received: Received) -> Result<Response<Body>, Failure> {
     if received.method != Method::POST {
         return Err(Failure::refused(ProblemKind::MethodNotAllowed, "use POST"));
@@ -170,7 +170,7 @@
         Ok(respond::stream(relay.into_body(), &id, note))
     }
 
-    /// Places and sends the draft until one target's first event arrives.
+    /// Places and sends the draft, with retries at other targets, until the first event arrives.
     pub(crate) async fn open(&mut self) -> Result<Opened, Failure> {
         for target_number in 1..=MAX_TARGETS {
             let chosen = self.place_when_permitted().await?;
@@ -200,7 +200,7 @@
         Err(self.request_failure("no target answered"))
     }
 
-    /// Tells the control thread that the target has the prompt in its cache.
+    /// Reports to the control thread that the target has the prompt in its cache.
     fn report_prefilled(&self, chosen: &Chosen) {
         if self.req.pieces.is_empty() {
             return;
@@ -213,7 +213,7 @@
         });
     }
 
-    /// Waits until the draft may be tried again; false if it may not.
+    /// Waits until the draft can be retried. Returns `false` if the retry policy denies a retry.
     async fn wait_for_retry(&self, targets_tried: u32) -> bool {
         let shared = &self.cx.shared;
         let failed = FailedTry {
@@ -242,8 +242,9 @@
         }
     }
 
-    /// Sends the draft to one target. A silent connection is replaced by a new one to the same target, which
-    /// goes on with the draft that the target holds, until the first token is due.
+    /// Sends the draft to one target and waits for its first event. If a connection times out before the
+    /// deadline of the first token, a new connection to the same target resumes the draft. If the target does
+    /// not hold the draft, it is sent again.
     async fn wait_for_first_event(&mut self, chosen: &Chosen) -> Result<FirstEvent, TargetError> {
         let mut result = self.send_to_target(chosen, false).await;
         loop {
@@ -264,7 +265,8 @@
         }
     }
 
-    /// Sends the draft to one target on one connection and waits for an event as long as for any progress.
+    /// Sends the draft to one target on one connection and waits for the first event, up to the progress
+    /// timeout.
     pub(crate) async fn send_to_target(
         &mut self,
         chosen: &Chosen,
@@ -291,7 +293,7 @@
         open.or(timeout).await
     }
 
-    /// Records that a try failed and keeps its target out of the next placement.
+    /// Records a failed attempt and excludes its target from the next placements.
     pub(crate) fn record_failure(&mut self, chosen: &Chosen, failure: TargetError) {
         self.may_have_run |= !failure.is_not_run();
         self.excluded.push(chosen.target.clone());
@@ -304,7 +306,7 @@
             "target" => &*chosen.target, "failure" => %failure);
     }
 
-    /// The failure of the whole request, with what is known about its tries.
+    /// Returns the failure of the whole request. Its outcome depends on whether an attempt may have run.
     pub(crate) fn request_failure(&self, detail: &str) -> Failure {
         let failure = if self.may_have_run {
             Failure::may_have_run
@@ -321,7 +323,8 @@
         )
     }
 
-    /// Fails if the notes of now do not let the draft start on another target.
+    /// Fails if the release notes now in force do not allow the draft to start on a target. A draft with
+    /// tokens already sent is not checked.
     fn check_allowed(&self, view: &View) -> Result<(), Failure> {
         if self.req.offset > 0 {
             return Ok(());
@@ -339,7 +342,7 @@
         Err(self.failure_from_refusal(Failure::refused(ProblemKind::UnknownModel, detail)))
     }
 
-    /// A refusal before anything was sent; else the failure of the whole request.
+    /// Returns the refusal itself if no attempt may have run, else the failure of the whole request.
     fn failure_from_refusal(&self, refused: Failure) -> Failure {
         match self.may_have_run {
             true => self.request_failure(&refused.detail),
@@ -347,7 +350,7 @@
         }
     }
 
-    /// Chooses a target on the view of now.
+    /// Chooses a target under the current view.
     pub(crate) fn place(&self) -> Result<Chosen, Failure> {
         let shared = &self.cx.shared;
         let view = shared.view.load();
@@ -391,7 +394,7 @@
         self.record_state("placed", self.request_failure("").outcome, Some(explained));
     }
 
-    /// Keeps the request's state for whoever asks for it.
+    /// Records the state of the request, for later lookups.
     pub(crate) fn record_state(&self, state: &'static str, outcome: Outcome, placement: Option<String>) {
         let workspace = self.received.workspace.clone();
         let record = RequestRecord {
@@ -403,7 +406,7 @@
         self.cx.shared.outcomes.record(self.received.id, record);
     }
 
-    /// Writes the objects of the answer.
+    /// Returns the writer of the answer's JSON objects.
     pub(crate) fn writer(&self) -> Writer {
         Writer {
             id: format!("cmpl-{}", id_text(self.received.id)),
@@ -413,13 +416,13 @@
         }
     }
 
-    /// Seconds since 1970.
+    /// Returns the wall clock time in seconds since 1970.
     pub(crate) fn wall_seconds(&self) -> u64 {
         let since = self.cx.shared.clock.wall().duration_since(std::time::UNIX_EPOCH);
         since.unwrap_or_default().as_secs()
     }
 
-    /// Where the stream stands after `offset` tokens.
+    /// Returns the point from which the stream can be resumed after `offset` tokens.
     pub(crate) fn resume_point(&self, chosen: &Chosen, version: WeightVersion, offset: u32) -> ResumePoint {
         ResumePoint {
             request_id: self.received.id,
@@ -436,7 +439,7 @@
     }
 }
 
-/// The event that tells a caller that the stream ends early.
+/// Returns the event that reports a failure at the end of a stream.
 pub(crate) fn error_event(failure: &Failure, id: &str) -> SseEvent {
     let problem = serde_json::json!({ "error": failure.problem(id) });
     SseEvent {
--- a/components/entry/src/traffic/failure.rs
+++ b/components/entry/src/traffic/failure.rs
@@ -1,18 +1,18 @@
 use errors::{Outcome, Problem, ProblemKind};
 
-/// Why a request ends without its answer.
+/// Reason why a request ends without its complete answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Failure {
-    /// The reason.
+    /// Kind of the problem document.
     pub kind: ProblemKind,
-    /// What is known about whether the request ran.
+    /// Whether the request ran, as far as known.
     pub outcome: Outcome,
-    /// What happened, for the caller.
+    /// Detail of the problem document, for the caller.
     pub detail: String,
 }
 
 impl Failure {
-    /// A refusal: nothing of the request reached a target.
+    /// Creates a refusal. It is certain that no target ran the request.
     pub(crate) fn refused(kind: ProblemKind, detail: impl Into<String>) -> Self {
         Self {
             kind,
@@ -21,7 +21,7 @@
         }
     }
 
-    /// A failure after a target may have run the request.
+    /// Creates a failure of a request that a target may have run.
     pub(crate) fn may_have_run(kind: ProblemKind, detail: impl Into<String>) -> Self {
         Self {
             kind,
--- a/components/entry/src/traffic/import.rs
+++ b/components/entry/src/traffic/import.rs
@@ -10,13 +10,14 @@
 use super::Context;
 use crate::observe::Observation;
 
-/// Time beyond what was expected until a transfer is given up.
+/// Time added to the scaled expected time of a transfer before it is abandoned.
 const TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
 
-/// Multiple of the expected time until a transfer is given up.
+/// Factor on the expected time of a transfer before it is abandoned.
 const TIMEOUT_FACTOR: f64 = 3.0;
 
-/// Makes the chosen engine read the pieces of a placement from stores. Whatever fails is computed again by the engine.
+/// Makes the chosen engine import the pieces of its placement from stores. The engine recomputes pieces that
+/// can not be imported.
 pub(crate) async fn import(cx: &Context, chosen: &Chosen, version: WeightVersion, time_left: Duration) {
     if chosen.fetches.is_empty() {
         return;
@@ -34,7 +35,7 @@
     }
 }
 
-/// Reads the pieces one after the other; false if one could not be read.
+/// Imports the pieces in order. Returns `false` after the first failure.
 async fn import_all(cx: &Context, chosen: &Chosen, version: WeightVersion) -> bool {
     let engine = HttpEngine::new(cx.engines.clone(), chosen.address);
     for fetch in &chosen.fetches {
@@ -52,7 +53,8 @@
     true
 }
 
-/// Counts a transfer from before it starts until it ends or is given up.
+/// Reports the start of a transfer to the control thread, and on drop its end. A transfer that is dropped
+/// early counts as incomplete.
 struct Transfer<'a> {
     cx: &'a Context,
     fetch: &'a Fetch,
--- a/components/entry/src/traffic/in_flight.rs
+++ b/components/entry/src/traffic/in_flight.rs
@@ -5,16 +5,16 @@
 use crate::observe::Observation;
 use crate::shared::Shared;
 
-/// Counts a draft as open at a target until it is dropped.
+/// Counts a draft as in flight at a target until it is dropped.
 pub(crate) struct InFlightGuard {
-    /// Where the control thread is told.
+    /// State with the channel to the control thread.
     shared: Arc<Shared>,
     /// The target.
     key: CandidateKey,
 }
 
 impl InFlightGuard {
-    /// Tells the control thread that a prompt of this many tokens goes to a target.
+    /// Reports to the control thread that a prompt of `tokens` tokens is sent to a target.
     pub(crate) fn new(shared: &Arc<Shared>, key: CandidateKey, tokens: u32) -> Self {
         shared.observer.send(Observation::Sent { key, tokens });
         Self {
--- a/components/entry/src/traffic/mod.rs
+++ b/components/entry/src/traffic/mod.rs
@@ -1,4 +1,4 @@
-//! The traffic threads: each accepts connections and serves them on its own executor.
+//! The traffic threads. Each accepts connections and serves them on its own executor.
 
 mod admit;
 mod calls;
@@ -22,21 +22,21 @@
 
 use crate::shared::Shared;
 
-/// What a traffic thread needs to answer requests.
+/// State that a traffic thread needs to answer requests.
 #[derive(Clone)]
 pub(crate) struct Context {
-    /// State of all threads.
+    /// State shared by all threads.
     pub shared: Arc<Shared>,
-    /// Sends drafts to engines.
+    /// Client for drafts to engines.
     pub engines: Client,
-    /// Sends calls to plain services.
+    /// Client for calls to plain services.
     pub services: Client,
 }
 
-/// Longest time for a plain service's answer, whatever the release note says.
+/// Upper bound of the response timeout of plain services. A release note can only lower it.
 const MAX_CALL_TIME: Duration = Duration::from_secs(60);
 
-/// Serves callers until `stop` resolves and every open request is finished, or until `abort` resolves.
+/// Serves callers until `stop` resolves and all open requests have finished, or until `abort` resolves.
 pub(crate) fn run(
     shared: Arc<Shared>,
     listener: TcpListener,
--- a/components/entry/src/traffic/once.rs
+++ b/components/entry/src/traffic/once.rs
@@ -13,12 +13,12 @@
 use super::failure::Failure;
 use super::route::{Received, check_serving};
 
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 200;
-/// Longest wait for the answer to a query about a key.
+/// Timeout of a query to a target for the outcome of a key.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Makes a call at most once, or replays its answer.
+/// Runs a call at most once per idempotency key. If the call has run before, its recorded answer is replayed.
 pub(crate) async fn call_once(
     cx: &Context,
     received: &Received,
@@ -41,7 +41,7 @@
         Begun::Told(verdict) => verdict,
         Begun::Ask(question) => query_target(cx, received, req, question).await,
         Begun::Held(claim) => {
-            // A claim that is dropped is given up.
+            // If the check fails, the claim is dropped, which gives it up.
             check_serving(cx, &cx.shared.view.load())?;
             match claim.dispatch() {
                 Err(verdict) => verdict,
@@ -59,7 +59,7 @@
     into_reply(verdict)
 }
 
-/// A key that can be a part of a path at every target.
+/// Returns the idempotency key if it is valid, which means that it can be a path segment at every target.
 fn checked_key(req: &CallRequest) -> Result<String, Failure> {
     let key = req.idempotency_key.clone().unwrap_or_default();
     let is_plain = |b: u8| b.is_ascii_alphanumeric() || b"-_.~:".contains(&b);
@@ -70,7 +70,7 @@
     Ok(key)
 }
 
-/// Digest of all that makes a call another one: method, path, content type and body.
+/// Returns a digest of everything that distinguishes calls: method, path, content type and body.
 fn body_digest(req: &CallRequest) -> utils::Digest {
     let mut hasher = blake3::Hasher::new();
     for part in [&req.method, &req.path, &req.content_type] {
@@ -93,7 +93,7 @@
     }
 }
 
-/// Asks the target that a call went to what it did.
+/// Queries the target of an earlier attempt for its recorded outcome.
 async fn query_target(cx: &Context, received: &Received, req: &CallRequest, question: Question) -> Verdict {
     let target = received.view.services.iter().find(|t| t.id == question.target);
     let reply = match target {
--- a/components/entry/src/traffic/openai.rs
+++ b/components/entry/src/traffic/openai.rs
@@ -1,6 +1,6 @@
 use serde::{Deserialize, Serialize};
 
-/// Tokens generated when the caller does not say.
+/// Maximum number of generated tokens if the caller sets none.
 const DEFAULT_MAX_TOKENS: u32 = 256;
 
 /// Body of `POST /v1/completions`.
@@ -10,7 +10,7 @@
     pub model: String,
     /// The prompt.
     pub prompt: String,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     #[serde(default = "default_max_tokens")]
     pub max_tokens: u32,
     /// Whether the answer is streamed.
@@ -25,7 +25,7 @@
     pub model: String,
     /// The conversation so far.
     pub messages: Vec<Message>,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     #[serde(default = "default_max_tokens")]
     pub max_tokens: u32,
     /// Whether the answer is streamed.
@@ -33,49 +33,49 @@
     pub stream: bool,
 }
 
-/// One message of a conversation.
+/// A message of a conversation.
 #[derive(Debug, Deserialize, Serialize)]
 pub(crate) struct Message {
-    /// Who speaks.
+    /// Role of the author.
     pub role: String,
-    /// What is said.
+    /// Text of the message.
     pub content: String,
 }
 
-/// A prompt in either format.
+/// The request of either body format.
 #[derive(Debug)]
 pub(crate) struct Prompt {
     /// Name of the model deployment.
     pub model: String,
     /// Text of the prompt.
     pub text: String,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// Whether the answer is in the chat format.
+    /// Whether the answer has the chat format.
     pub chat: bool,
 }
 
-/// Writes the objects of an answer.
+/// Writes the JSON objects of an answer.
 #[derive(Debug, Clone)]
 pub(crate) struct Writer {
     /// Identifier of the answer.
     pub id: String,
     /// Name of the model deployment.
     pub model: String,
-    /// When the request came, in seconds since 1970.
+    /// Creation time of the answer, in seconds since 1970.
     pub created: u64,
-    /// Whether the chat format is used.
+    /// Whether the answer has the chat format.
     pub chat: bool,
 }
 
-/// Tokens of a request, as in the OpenAI API.
+/// Token counts of a request, as in the OpenAI API.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub(crate) struct Usage {
-    /// Tokens in the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Tokens generated.
+    /// Number of generated tokens.
     pub completion_tokens: u32,
     /// Sum of both.
     pub total_tokens: u32,
@@ -162,7 +162,7 @@
 }
 
 impl Writer {
-    /// The object of one streamed token.
+    /// Returns the object of a streamed token.
     pub(crate) fn token(&self, text: &str) -> String {
         let choice = if self.chat {
             chunk(None, Some(text), None)
@@ -172,7 +172,7 @@
         self.object(choice, true, None)
     }
 
-    /// The last object of a stream.
+    /// Returns the last object of a stream, with the usage.
     pub(crate) fn finish(&self, usage: Usage, reason: &'static str) -> String {
         let choice = if self.chat {
             chunk(None, Some(""), Some(reason))
@@ -182,7 +182,7 @@
         self.object(choice, true, Some(usage))
     }
 
-    /// The object of a whole answer that is not streamed.
+    /// Returns the object of an answer that is not streamed.
     pub(crate) fn whole(&self, text: &str, usage: Usage, reason: &'static str) -> String {
         let mut choice = chunk(None, None, Some(reason));
         if self.chat {
--- a/components/entry/src/traffic/relay.rs
+++ b/components/entry/src/traffic/relay.rs
@@ -21,34 +21,34 @@
 use super::{Context, respond};
 use crate::resume::{ResumePoint, TokenError};
 
-/// Tries to go on with a stream that broke, without a new token in between.
+/// Maximum number of consecutive resumes of a stream without a new token.
 const MAX_RESUMES: u32 = 3;
 
 /// Relays the events of a draft to its caller and resumes it when the connection or the target fails.
 pub(crate) struct Relay {
     /// The draft.
     draft: Draft,
-    /// Where it runs.
+    /// Placement of the draft.
     chosen: Chosen,
-    /// Its events.
+    /// Events of the draft.
     stream: Box<dyn DraftStream>,
-    /// The first event, not relayed yet.
+    /// First event of `stream`, until it is relayed.
     first: Option<DraftEvent>,
-    /// Weight version that runs.
+    /// Weight version of the answer.
     version: WeightVersion,
-    /// Writes the objects of the answer.
+    /// Writes the JSON objects of the answer.
     writer: Writer,
-    /// Text sent so far by this host, for continuing at another target.
+    /// Text that this host has sent so far, needed to continue at another target.
     text: String,
-    /// Whether `text` holds the answer from its beginning.
+    /// Whether `text` contains the answer from its beginning.
     has_full_text: bool,
-    /// Tokens that the caller has.
+    /// Number of tokens that the caller has.
     offset: u32,
-    /// Resumes since the last token.
+    /// Number of resumes since the last token.
     resumes: u32,
-    /// Whether the caller knows how the request ended.
+    /// Whether the end of the answer or a failure has been passed on to the caller.
     ended: bool,
-    /// Counts the request as open.
+    /// Counts the request as open while it is relayed.
     _guard: AdmissionGuard,
 }
 
@@ -60,11 +60,11 @@
     }
 }
 
-/// What comes next in an answer.
+/// The next part of an answer.
 enum Step {
     /// A token.
     Token(String),
-    /// The end; all tokens were relayed.
+    /// The end of the answer, after all tokens.
     End,
 }
 
@@ -93,7 +93,8 @@
         }
     }
 
-    /// The answer as server-sent events. The caller's connection drives it; dropping it early means the caller left.
+    /// Returns the answer as server-sent events. The caller's connection polls the body; a drop before the
+    /// end means that the caller has disconnected.
     pub(crate) fn into_body(self) -> Body {
         stream_body(unfold(self, |mut relay| async move {
             let chunk = relay.chunk().await?;
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Reads the whole answer.
+    /// Reads the complete answer and returns it as one object.
     pub(crate) async fn collect(mut self) -> Result<String, Failure> {
         loop {
             match self.step().await {
@@ -199,7 +200,7 @@
         Ok(event.end.map(|_| Step::End))
     }
 
-    /// Goes on after the stream broke: at the same target on a new connection first, then elsewhere.
+    /// Resumes after the stream broke, first on a new connection to the same target, then at another target.
     async fn resume(&mut self, error: TargetError) -> Result<(), Failure> {
         self.resumes += 1;
         if self.resumes > MAX_RESUMES {
@@ -270,7 +271,8 @@
         }
     }
 
-    /// A failure of a draft that ran at least in part.
+    /// Returns the failure of an answer that may have run in part. The detail includes the number of tokens
+    /// sent.
     fn partial_failure(&self, kind: ProblemKind, detail: &str) -> Failure {
         let detail = format!("{detail}; {} tokens were sent", self.offset);
         Failure {
@@ -319,7 +321,7 @@
     }
 }
 
-/// Continues a stream at the token's offset, whichever host began it.
+/// Resumes a stream at the offset of a resume token. Any host may have issued the token.
 pub(crate) async fn resume(cx: &Context, received: Received, token: &str) -> Result<Response<Body>, Failure> {
     let opened = cx
         .shared
--- a/components/entry/src/traffic/respond.rs
+++ b/components/entry/src/traffic/respond.rs
@@ -6,17 +6,17 @@
 use targets::CallReply;
 use utils::RequestId;
 
-/// Response header with the request's identifier.
+/// Response header with the identifier of the request.
 const REQUEST_ID_HEADER: &str = "laburnumtally-request-id";
 /// Response header with the version of the release notes that the request was served under.
 const NOTE_HEADER: &str = "laburnumtally-note";
 
-/// The identifier of a request as callers see it.
+/// Formats a request identifier for callers.
 pub(crate) fn id_text(id: RequestId) -> String {
     format!("{id:032x}")
 }
 
-/// A problem document.
+/// Returns a problem document as a response.
 pub(crate) fn problem(problem: &Problem, note_version: u64) -> Response<Body> {
     let mut res = Response::new(json_body(problem));
     *res.status_mut() = StatusCode::from_u16(problem.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
@@ -28,7 +28,7 @@
     res
 }
 
-/// A JSON answer.
+/// Returns a JSON response.
 pub(crate) fn json(value: &impl Serialize, outcome: Outcome, id: &str, note_version: u64) -> Response<Body> {
     let mut res = Response::new(json_body(value));
     set_header(&mut res, CONTENT_TYPE.as_str(), "application/json");
@@ -36,7 +36,7 @@
     res
 }
 
-/// The head of an event stream.
+/// Returns a response that streams server-sent events.
 pub(crate) fn stream(body: Body, id: &str, note_version: u64) -> Response<Body> {
     let mut res = Response::new(body);
     set_header(&mut res, CONTENT_TYPE.as_str(), "text/event-stream");
@@ -45,7 +45,7 @@
     res
 }
 
-/// A plain service's answer.
+/// Returns the answer of a plain service as a response.
 pub(crate) fn reply(reply: CallReply, id: &str, note_version: u64) -> Response<Body> {
     let mut res = Response::new(full_body(reply.body));
     *res.status_mut() = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::BAD_GATEWAY);
--- a/components/entry/src/traffic/route.rs
+++ b/components/entry/src/traffic/route.rs
@@ -16,27 +16,27 @@
 use crate::outcomes::RequestRecord;
 use crate::view::{Serving, View};
 
-/// A request with its caller known.
+/// An authenticated request.
 pub(crate) struct Received {
     /// Identifier of the request.
     pub id: RequestId,
     /// Workspace of the caller.
     pub workspace: WorkspaceId,
-    /// View under which the request is served.
+    /// View under which the request was admitted.
     pub view: std::sync::Arc<View>,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path with its leading slash.
     pub path: String,
-    /// Query after the path, without the question mark.
+    /// Query without the question mark.
     pub query: Option<String>,
-    /// Headers.
+    /// HTTP headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// Answers one request of a caller.
+/// Answers a request of a caller.
 pub(crate) async fn answer(cx: Context, req: Request<Incoming>) -> Response<Body> {
     let id: RequestId = rand::random();
     let view = cx.shared.view.load_full();
@@ -69,7 +69,7 @@
         return look_up(cx, &view, &workspace, wanted);
     }
     let body = read_body(cx, body).await?;
-    // The notes may have changed while the body came in.
+    // The release notes may have changed while the body was received.
     let view = cx.shared.view.load_full();
     let workspace = authenticate(cx, &view, &parts.headers)?;
     let received = Received {
@@ -92,7 +92,7 @@
     }
 }
 
-/// Fails if the host must not take new work under a view.
+/// Fails if the host can not accept new requests under a view.
 pub(crate) fn check_serving(cx: &Context, view: &View) -> Result<(), Failure> {
     let detail = match cx.shared.serving(view) {
         Serving::Yes => return Ok(()),
--- a/components/entry/src/traffic/watch.rs
+++ b/components/entry/src/traffic/watch.rs
@@ -12,30 +12,30 @@
 use super::failure::Failure;
 use crate::shared::Shared;
 
-/// Time between two looks at whether a try may run.
+/// Interval at which a waiting attempt checks again whether it may run.
 const PERMIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Mean time after which targets of other hosts' suspects are asked for again.
+/// Mean delay before targets whose claim was denied are claimed again. The delay is jittered by 50 %.
 const CLAIM_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Times that a target is asked whether its process is the same, when a connection broke.
+/// Maximum number of probes for the incarnation of a target's process after a connection broke.
 const MAX_PROBES: u32 = 3;
-/// Time between them.
+/// Delay after each probe without an answer.
 const PROBE_INTERVAL: Duration = Duration::from_millis(50);
-/// Longest wait for rows of suspects to be written.
+/// Timeout of writes and claims in the table service.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Watches the tries of one draft for crashes of their targets.
+/// Watches the attempts of one draft for crashes of their targets.
 pub(crate) struct CrashWatch {
-    /// State of all threads.
+    /// State shared by all threads.
     shared: Arc<Shared>,
-    /// Names the request.
+    /// Fingerprint of the request.
     request: Fingerprint,
-    /// The try that is permitted and has not ended.
+    /// Attempt that is permitted and has not ended.
     current_attempt: Option<TryId>,
-    /// The target that the try has alone among suspects.
+    /// Target that the attempt has claimed exclusively among suspects.
     claimed: Option<(TargetId, TryId)>,
-    /// Run of the target's process when the try was placed.
+    /// Incarnation of the target's process when the attempt was placed.
     incarnation: Option<Incarnation>,
-    /// Whether a crash was seen.
+    /// Whether a target crashed while it ran the draft.
     crash_seen: bool,
 }
 
@@ -67,7 +67,9 @@
         permit
     }
 
-    /// Notes how the open try ended and tells the other hosts, if the request is suspect.
+    /// Records how the current attempt ended. If the request has a crash history, the table service is
+    /// updated: the row of a suspect is written, and the row of a request that is no longer a suspect is
+    /// removed.
     pub(crate) fn record_end(&mut self, end: &TryOutcome) {
         self.release();
         let Some(id) = self.current_attempt.take() else {
@@ -83,7 +85,8 @@
         suspects.clear(self.request);
     }
 
-    /// Notes a crash: all that runs on the target is suspect. Returns once the rows are written, or after a bounded wait.
+    /// Records a crash. All requests that ran on the target become suspects. Returns once their rows are
+    /// written, or after [`WRITE_TIMEOUT`].
     async fn record_crash(&mut self, crash: &Crash) {
         self.crash_seen = true;
         let suspects = &self.shared.suspects;
@@ -108,8 +111,8 @@
         }
     }
 
-    /// Asks for a target, alone among the suspects of all hosts. A table service that does not answer does not keep the
-    /// try from running; only the suspects of this host are then left out.
+    /// Claims a target exclusively among the suspects of all hosts. If the table service does not answer in
+    /// time, the claim counts as granted, and the attempt avoids only the suspects that this host knows.
     async fn claim(&mut self, target: &TargetId) -> bool {
         let Some(id) = self.current_attempt.clone() else {
             return false;
@@ -130,7 +133,7 @@
         is_granted
     }
 
-    /// Writes rows; returns what the table says about this request, or `None` if it did not answer in time.
+    /// Writes rows and returns the merged row of this request, or `None` if it was not written in time.
     async fn write(&self, rows: Vec<(Fingerprint, Suspicion)>) -> Option<Suspicion> {
         let count = rows.len();
         let written = self.shared.suspects.merge_rows(rows);
@@ -146,8 +149,9 @@
         own.map(|(_, suspicion)| suspicion)
     }
 
-    /// Whether the target's process ended since the try was placed. A broken connection alone says nothing: the target
-    /// must answer as another process, or refuse every new connection.
+    /// Returns the crash if the target's process has ended since the attempt was placed. A broken connection
+    /// is not enough: the target must answer with another incarnation, or refuse new connections up to the
+    /// last probe.
     async fn find_crash(&self, engine: &HttpEngine, target: &TargetId) -> Option<Crash> {
         let incarnation = self.incarnation?;
         let mut has_crashed = false;
@@ -167,7 +171,7 @@
         has_crashed.then_some(Crash { target, incarnation })
     }
 
-    /// Takes a target, unless it runs another suspect by now.
+    /// Sets the target of this request, unless the target runs another suspect. Returns whether it was set.
     fn set_exclusive_target(&self, target: &TargetId) -> bool {
         let mut quarantine = self.shared.suspects.quarantine();
         if quarantine.targets_of_suspects(self.request).contains(target) {
@@ -185,7 +189,8 @@
             .cloned()
     }
 
-    /// Writes that the open try is about to run. False if the table knows a reason why it must not.
+    /// Writes to the table that the current attempt starts. Returns `false` if the merged row forbids it,
+    /// because another attempt of the request is running or the request is quarantined.
     async fn record_start(&mut self) -> bool {
         let Some(suspicion) = self.own_suspicion() else {
             return true;
@@ -212,7 +217,7 @@
 }
 
 impl Draft {
-    /// Chooses a target once the request may run.
+    /// Waits until the request is permitted to run and chooses a target.
     pub(crate) async fn place_when_permitted(&mut self) -> Result<Chosen, Failure> {
         loop {
             let Some(watch) = &mut self.watch else {
@@ -251,7 +256,7 @@
         Ok(chosen)
     }
 
-    /// Goes to the target that runs an equal request, if that is not suspect.
+    /// Chooses the target that runs an equal request, if that request is not a suspect.
     fn place_with_equal_request(&mut self) -> Option<Chosen> {
         let watch = self.watch.as_ref()?;
         let shared = watch.shared.clone();
@@ -274,7 +279,8 @@
         Some(chosen)
     }
 
-    /// Waits for a target that runs no other suspect, and writes down that the request runs there.
+    /// Claims a target that runs no other suspect, and writes to the table that the attempt starts there.
+    /// Returns `None` if the target does not answer or the table forbids the attempt.
     async fn place_alone(&mut self) -> Result<Option<Chosen>, Failure> {
         let chosen = self.claim_exclusive_target().await?;
         let engine = HttpEngine::new(self.cx.engines.clone(), chosen.address);
@@ -324,7 +330,8 @@
         watch.set_exclusive_target(&chosen.target).then_some(chosen)
     }
 
-    /// Places the draft with more targets left out, if any is left.
+    /// Places the draft with `targets` excluded in addition to those that failed. Returns `None` if no target
+    /// remains.
     fn place_without(&mut self, targets: Vec<TargetId>) -> Option<Chosen> {
         let failed = self.excluded.len();
         self.excluded.extend(targets);
@@ -338,7 +345,8 @@
         chosen
     }
 
-    /// Finds out whether a failed try was aboard a crash. Fails if the request is quarantined by that.
+    /// Checks whether the target of a failed attempt has crashed, and records the crash. Fails if the request
+    /// is quarantined as a result.
     pub(crate) async fn check_for_crash(
         &mut self,
         chosen: &Chosen,
@@ -364,14 +372,16 @@
         Ok(())
     }
 
-    /// Waits until other hosts know of a crash that was seen, so that a caller who sends the request there is known.
+    /// If a target crashed, waits until the other hosts have read the crash. They then recognize the request
+    /// if the caller sends it to them.
     pub(crate) async fn wait_for_propagation(&self) {
         if self.watch.as_ref().is_some_and(|watch| watch.crash_seen) {
             smol::Timer::after(self.cx.shared.suspects.propagation_time).await;
         }
     }
 
-    /// The refusal of a quarantined request. It is held back until other hosts know of the crashes.
+    /// Returns the refusal of a quarantined request, after the time in which the other hosts read its
+    /// crashes.
     async fn quarantined_failure(&self) -> Failure {
         let shared = &self.cx.shared;
         smol::Timer::after(shared.suspects.propagation_time).await;
@@ -392,6 +402,6 @@
         true => events::REQUEST_QUARANTINED,
         false => events::REQUEST_SUSPECTED,
     };
-    info!(shared.log, "request aboard a crash"; event,
+    info!(shared.log, "request ran on a target that crashed"; event,
         "fingerprint" => %request, "crashes" => suspicion.crash_count());
 }
--- a/components/entry/src/view.rs
+++ b/components/entry/src/view.rs
@@ -9,57 +9,58 @@
 use subtle::ConstantTimeEq;
 use utils::{FailureDomainId, RegionId, ServiceId, TargetId, WorkspaceId};
 
-/// Where the control thread publishes and the traffic threads read.
+/// Holds the current view, which the control thread publishes and the traffic threads read.
 pub(crate) type ViewCell = ArcSwap<View>;
 
-/// Whether the host takes new work.
+/// Whether the host accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Serving {
-    /// Takes new work.
+    /// It accepts new requests.
     Yes,
-    /// Has not read a head of the release notes yet.
+    /// It has not read a head of the release notes yet.
     #[default]
     NoNote,
-    /// Can not confirm that it obeys the release note in force.
+    /// It can not confirm that it enforces the release note in force.
     Unconfirmed,
 }
 
-/// A plain service's target.
+/// A target that offers plain services.
 #[derive(Debug, Clone)]
 pub(crate) struct ServiceTarget {
-    /// Name of the target.
+    /// Identifier of the target.
     pub id: TargetId,
-    /// Services that it offers.
+    /// Services that the target offers.
     pub services: Vec<ServiceId>,
-    /// Where it takes requests.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Region that it stands in.
+    /// Region of the target.
     pub region: RegionId,
-    /// Failure domain inside the region.
+    /// Failure domain of the target inside the region.
     pub failure_domain: FailureDomainId,
-    /// Whether the platform's list says that it leaves.
+    /// State of the target on the platform's list.
     pub state: HostState,
 }
 
-/// What traffic threads decide on; replaced as a whole.
+/// State that the traffic threads base their decisions on. Each change replaces the whole view.
 #[derive(Debug, Default)]
 pub(crate) struct View {
-    /// What the release notes declare.
+    /// Declarations of the release notes.
     pub declared: Arc<Declared>,
-    /// The same with the API keys, and how far the host knows the notes.
+    /// Declarations that new requests must satisfy, with the API keys and the state of the notes at this
+    /// host.
     pub enforced: EnforcedNotes,
-    /// Model engines.
+    /// Model engines and their state, for placement.
     pub placement: PlacementView,
-    /// Plain services.
+    /// Targets of plain services.
     pub services: Vec<ServiceTarget>,
-    /// Entry hosts on the platform's list.
+    /// Number of entry hosts on the platform's list.
     pub entry_hosts: u32,
 }
 
 impl View {
-    /// The workspace of an API key.
+    /// Returns the workspace of an API key.
     pub(crate) fn workspace_of(&self, api_key: &str) -> Option<(&WorkspaceId, &Workspace)> {
         let digest = utils::digest(api_key.as_bytes());
         let (stored, id, workspace) = self.enforced.workspace_by_key(&digest)?;
