--- a/src/cmd/serve.rs
+++ b/src/cmd/serve.rs
@@ -39,7 +39,7 @@
     let (log, guard) = logger(LogFormat::Json);
     let parts = {
         let settings = settings.clone();
-        move |ex: &http_io::Executor| platform::parts(&settings, ex)
+        move |ex: &http_io::Executor| platform::ports(&settings, ex)
     };
     let daemon = gateway::Daemon::start(settings, parts, log).change_context(CommandError::Failed)?;
     // Nothing that may change in the file while the process runs is used.
--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -5,7 +5,9 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::common::deployment::{GUEST, WORKSPACES, guest_key, passing_path, plain_headers, prompt_headers};
+use crate::common::deployment::{
+    GUEST, WORKSPACES, guest_key, plain_headers, prompt_headers, versioned_path,
+};
 use crate::common::{Caller, Reply};
 use crate::process::Host;
 
@@ -60,7 +62,7 @@
             format!("{number}-{}", attempts.len()),
         );
         let is_closing = attempt.reply.header("connection") == Some("close");
-        if attempt.reply.is_whole && !is_closing && used < KEPT_FOR {
+        if attempt.reply.is_complete && !is_closing && used < KEPT_FOR {
             kept.insert(host, (caller, used + 1));
         }
         attempts.push(attempt);
@@ -81,7 +83,7 @@
         7..=9 => "/talk/x".to_owned(),
         10 => {
             only_in = Some(version);
-            format!("{}x", passing_path(version))
+            format!("{}x", versioned_path(version))
         }
         _ => {
             only_in = Some(version);
@@ -96,7 +98,7 @@
     };
     let starts = || ask.hosts[host].starts.load(Ordering::SeqCst);
     let (sent_at, started) = (Instant::now(), starts());
-    let reply = caller.ask("POST", &path, &id, &headers, "body");
+    let reply = caller.request("POST", &path, &id, &headers, "body");
     Attempt {
         id,
         host,
--- a/tests/soak/plan.rs
+++ b/tests/soak/plan.rs
@@ -3,7 +3,7 @@
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::common::{Line, Mood};
+use crate::common::{EngineMode, Link};
 
 /// Part of a run in which there is only planned work.
 const PLANNED_PART: f64 = 0.35;
@@ -41,15 +41,15 @@
     /// As [`Trouble::Pause`], with new weights named right before.
     PauseInLoad(usize),
     /// A host's line to the store.
-    StoreLine(usize, Line),
+    StoreLine(usize, Link),
     /// The store turns all away.
     StoreRefuses,
     /// The store forgets its history.
     StoreForgets,
     /// The line to an engine.
-    EngineLine(usize, Line),
+    EngineLine(usize, Link),
     /// What an engine does to requests.
-    EngineMood(usize, Mood),
+    EngineMood(usize, EngineMode),
     /// An engine restarts under its name.
     EngineRestarts(usize),
     /// An engine is replaced by another one at its address.
@@ -101,14 +101,14 @@
 fn draw(rng: &mut impl Rng, size: Size, is_planned: bool) -> Trouble {
     let host = rng.random_range(0..size.hosts);
     let engine = rng.random_range(0..size.engines);
-    let slow = Line::Slow(Duration::from_millis(rng.random_range(20..400)));
-    let line = [slow, Line::Silent, Line::OneWay, Line::Cut][rng.random_range(0..4)];
+    let slow = Link::Slow(Duration::from_millis(rng.random_range(20..400)));
+    let line = [slow, Link::Stalled, Link::OneWay, Link::Down][rng.random_range(0..4)];
     let moods = [
-        Mood::Failing,
-        Mood::Cutting,
-        Mood::Garbling,
-        Mood::Mute,
-        Mood::Full,
+        EngineMode::Failing,
+        EngineMode::Truncating,
+        EngineMode::Unsolicited,
+        EngineMode::Closing,
+        EngineMode::Rejecting,
     ];
     let kinds = if is_planned { 5 } else { 16 };
     match rng.random_range(0..kinds) {
--- a/tests/soak/process.rs
+++ b/tests/soak/process.rs
@@ -126,7 +126,7 @@
 
     pub(crate) fn is_ready(&self) -> bool {
         let caller = Caller::try_connect(self.file.readiness);
-        caller.is_some_and(|mut caller| caller.ask("GET", "/v1/readiness", "", "", "").status == 200)
+        caller.is_some_and(|mut caller| caller.request("GET", "/v1/readiness", "", "", "").status == 200)
     }
 
     pub(crate) fn wait_until_ready(&self, give_up: Instant) -> bool {
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -8,9 +8,9 @@
 
 use crate::callers::{Ask, Attempt, call};
 use crate::common::deployment::{
-    GUEST, WORKSPACES, declare, guest_key, name_weights, passing_path, plain_headers,
+    GUEST, WORKSPACES, declare, declare_weights, guest_key, plain_headers, versioned_path,
 };
-use crate::common::{Caller, Engine, Line, Mood, Proxy, WireStore, Witness};
+use crate::common::{Caller, Engine, EngineMode, Link, Observations, Proxy, WireStore};
 use crate::plan::{Size, Step, Trouble, plan};
 use crate::process::Host;
 use crate::verdict::{Evidence, Harm, judge};
@@ -56,7 +56,7 @@
     store: WireStore,
     places: Vec<Place>,
     hosts: Vec<Host>,
-    witness: Arc<Witness>,
+    witness: Arc<Observations>,
     declared: AtomicU64,
     weights: AtomicU64,
     replaced: AtomicU64,
@@ -105,8 +105,8 @@
     fn start(dir: &std::path::Path, size: Size) -> Self {
         let store = WireStore::start();
         declare(&store, 1);
-        name_weights(&store, 1);
-        let witness = Arc::new(Witness::default());
+        declare_weights(&store, 1);
+        let witness = Arc::new(Observations::default());
         let places: Vec<_> = (0..size.engines)
             .map(|index| {
                 let engine = Engine::start(&format!("engine-{index}"), witness.clone());
@@ -201,7 +201,7 @@
                 self.declared.fetch_max(version, Ordering::SeqCst);
             }
             Trouble::NameWeights => {
-                name_weights(&self.store, self.weights.fetch_add(1, Ordering::SeqCst) + 1);
+                declare_weights(&self.store, self.weights.fetch_add(1, Ordering::SeqCst) + 1);
             }
             Trouble::Hup(host) => self.hosts[host].signal(Signal::HUP),
             Trouble::Term(host) => {
@@ -222,30 +222,30 @@
             }
             Trouble::Pause(host) => self.pause(host, step.length, busy),
             Trouble::PauseInLoad(host) => {
-                name_weights(&self.store, self.weights.fetch_add(1, Ordering::SeqCst) + 1);
+                declare_weights(&self.store, self.weights.fetch_add(1, Ordering::SeqCst) + 1);
                 std::thread::sleep(LOAD_BEGUN);
                 self.pause(host, step.length, busy);
             }
             Trouble::StoreLine(host, line) => {
                 self.hosts[host].store_line.set(line);
                 last();
-                self.hosts[host].store_line.set(Line::Sound);
+                self.hosts[host].store_line.set(Link::Normal);
             }
             Trouble::StoreRefuses => {
-                self.store.refuse(true);
+                self.store.set_rejecting(true);
                 last();
-                self.store.refuse(false);
+                self.store.set_rejecting(false);
             }
             Trouble::StoreForgets => self.store.compact(),
             Trouble::EngineLine(engine, line) => {
                 self.places[engine].line.set(line);
                 last();
-                self.places[engine].line.set(Line::Sound);
+                self.places[engine].line.set(Link::Normal);
             }
             Trouble::EngineMood(engine, mood) => {
-                self.places[engine].engine.set_mood(mood);
+                self.places[engine].engine.set_mode(mood);
                 last();
-                self.places[engine].engine.set_mood(Mood::Sound);
+                self.places[engine].engine.set_mode(EngineMode::Normal);
             }
             Trouble::EngineRestarts(engine) => {
                 let place = &self.places[engine];
@@ -317,11 +317,11 @@
                 let caller = Caller::try_connect(host.file.callers);
                 let headers = plain_headers(key);
                 caller.map_or(0, |mut caller| {
-                    caller.ask("POST", path, "probe", &headers, "").status
+                    caller.request("POST", path, "probe", &headers, "").status
                 })
             };
             let key = WORKSPACES[0].1;
-            let passing = status(&format!("{}x", passing_path(version)), key);
+            let passing = status(&format!("{}x", versioned_path(version)), key);
             let guest = status("/safe/x", &guest_key(version - 1));
             if (passing, guest) != (200, 401) {
                 return Some(format!(
--- a/tests/soak/verdict.rs
+++ b/tests/soak/verdict.rs
@@ -2,8 +2,8 @@
 use std::time::{Duration, Instant};
 
 use crate::callers::Attempt;
-use crate::common::deployment::{LASTING_PATHS, MOST_RUNS, WORKSPACES};
-use crate::common::{EVENTS, Order, Run, Witness};
+use crate::common::deployment::{MAX_RUNS, PERMANENT_PATHS, WORKSPACES};
+use crate::common::{EVENT_COUNT, Observations, Order, Run};
 use crate::plan::Trouble;
 use crate::process::host_name;
 
@@ -25,7 +25,7 @@
 /// All that was seen in a run.
 pub(crate) struct Evidence<'a> {
     pub attempts: &'a [Attempt],
-    pub witness: &'a Witness,
+    pub witness: &'a Observations,
     pub harms: &'a [Harm],
 }
 
@@ -67,15 +67,15 @@
     let id = &attempt.id;
     if !is_stream {
         let is_right = reply.body == format!("done {id}");
-        return (reply.is_whole && !is_right).then_some("the answer of another request");
+        return (reply.is_complete && !is_right).then_some("the answer of another request");
     }
-    let whole: String = (1..=EVENTS)
+    let whole: String = (1..=EVENT_COUNT)
         .map(|number| format!("id: {number}\ndata: {id} {number}\n\n"))
         .collect();
     if !whole.starts_with(&reply.body) {
         return Some("a stream with a wrong event");
     }
-    (reply.is_whole && reply.body != whole).then_some("a cut stream that looks complete")
+    (reply.is_complete && reply.body != whole).then_some("a cut stream that looks complete")
 }
 
 /// A request that ran too often, or for another workspace.
@@ -84,7 +84,7 @@
     if is_once && runs.len() > 1 {
         return Some("a request that may run once ran again");
     }
-    if runs.len() > MOST_RUNS {
+    if runs.len() > MAX_RUNS {
         return Some("a request ran on too many targets");
     }
     let is_other = |run: &&Run| run.workspace.as_deref() != Some(attempt.workspace);
@@ -100,14 +100,14 @@
         return Some("a request that was said not to have run had run");
     }
     let is_lasting =
-        attempt.only_in.is_none() && LASTING_PATHS.iter().any(|path| attempt.path.starts_with(path));
+        attempt.only_in.is_none() && PERMANENT_PATHS.iter().any(|path| attempt.path.starts_with(path));
     (is_lasting && matches!(status, 401 | 403 | 404)).then_some("what every declaration allows was refused")
 }
 
 /// An answer that was lost while there was only planned work.
 fn loss_fault(evidence: &Evidence<'_>, attempt: &Attempt, runs: &[&Run]) -> Option<&'static str> {
     let is_harmed = |harm: &Harm| harm.from <= attempt.ended_at && attempt.sent_at <= harm.until + AFTERMATH;
-    let is_lost = !attempt.reply.is_whole && !runs.is_empty();
+    let is_lost = !attempt.reply.is_complete && !runs.is_empty();
     (is_lost && !evidence.harms.iter().any(is_harmed)).then_some("an answer was lost beside planned work")
 }
 
