--- a/components/metadata/src/error.rs
+++ b/components/metadata/src/error.rs
@@ -1,25 +1,26 @@
 use http_io::HttpError;
 
-/// Why a call to the platform failed.
+/// Errors of calls to the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum PlatformError {
-    /// The call was not sent; it took no effect.
+    /// The call was not sent and took no effect.
     #[error("the platform can not be reached; the call was not sent")]
     Unreachable,
-    /// The call was sent and its answer is lost; it may have taken effect.
+    /// The call was sent, but no answer arrived or its status is unexpected; the call may have taken effect.
     #[error("the platform's answer is lost; the call may have taken effect")]
     AnswerLost,
-    /// The platform refused the call because of its rate; it took no effect.
+    /// The platform refused the call because of its rate limit or overload (status 429 or 503). The call took
+    /// no effect.
     #[error("the platform refused the call because of its rate")]
     Busy,
-    /// The answer can not be read.
+    /// The answer is too large or can not be parsed.
     #[error("the platform's answer can not be read")]
     Malformed,
 }
 
 impl PlatformError {
-    /// Whether it is certain that the call took no effect.
+    /// Returns whether the call certainly took no effect.
     pub fn is_without_effect(self) -> bool {
         matches!(self, Self::Unreachable | Self::Busy)
     }
--- a/components/metadata/src/http.rs
+++ b/components/metadata/src/http.rs
@@ -12,22 +12,22 @@
     ScanRequest, TableService, Transaction,
 };
 
-/// Largest object that is read, in bytes.
+/// Maximum size of an object in an answer, in bytes.
 const MAX_OBJECT_BYTES: usize = 64 << 20;
 
-/// Client of the platform over HTTP and JSON.
+/// Client of the platform's services over HTTP and JSON.
 ///
 /// Paths: `POST /v1/table/{transact,read,scan}`, `GET /v1/list`, `GET` and `PUT /v1/objects/{key}`.
 #[derive(Clone)]
 pub struct HttpPlatform {
-    /// Sends the requests.
+    /// HTTP client with pooled connections.
     client: Client,
-    /// Address of the platform's service.
+    /// Address of the platform.
     addr: SocketAddr,
 }
 
 impl HttpPlatform {
-    /// A client of the service at `addr`.
+    /// Creates a client of the platform at `addr`.
     pub fn new(client: Client, addr: SocketAddr) -> Self {
         Self { client, addr }
     }
@@ -41,7 +41,7 @@
         self.client
             .call(self.addr, method, path, body)
             .await
-            .map_err(into_platform)
+            .map_err(into_platform_error)
     }
 }
 
@@ -72,10 +72,14 @@
     fn put(&self, key: String, content: Bytes) -> BoxFuture<'_, Result<(), Report<PlatformError>>> {
         Box::pin(async move {
             let req = object_request(self.addr, Method::PUT, &key, content)?;
-            let res = self.client.send(self.addr, req).await.map_err(into_platform)?;
+            let res = self
+                .client
+                .send(self.addr, req)
+                .await
+                .map_err(into_platform_error)?;
             match res.status().as_u16() {
                 200..300 => Ok(()),
-                status => Err(into_platform(Report::new(HttpError::Status(status)))),
+                status => Err(into_platform_error(Report::new(HttpError::Status(status)))),
             }
         })
     }
@@ -83,20 +87,24 @@
     fn get(&self, key: String) -> BoxFuture<'_, Result<Option<Bytes>, Report<PlatformError>>> {
         Box::pin(async move {
             let req = object_request(self.addr, Method::GET, &key, Bytes::new())?;
-            let res = self.client.send(self.addr, req).await.map_err(into_platform)?;
+            let res = self
+                .client
+                .send(self.addr, req)
+                .await
+                .map_err(into_platform_error)?;
             match res.status().as_u16() {
                 200 => {
                     let read = read_limited(res.into_body(), MAX_OBJECT_BYTES).await;
-                    read.map(Some).map_err(into_platform)
+                    read.map(Some).map_err(into_platform_error)
                 }
                 404 => Ok(None),
-                status => Err(into_platform(Report::new(HttpError::Status(status)))),
+                status => Err(into_platform_error(Report::new(HttpError::Status(status)))),
             }
         })
     }
 }
 
-fn into_platform(report: Report<HttpError>) -> Report<PlatformError> {
+fn into_platform_error(report: Report<HttpError>) -> Report<PlatformError> {
     let kind = PlatformError::from(*report.current_context());
     report.change_context(kind)
 }
--- a/components/metadata/src/lib.rs
+++ b/components/metadata/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the platform gives: a table service, an object store, a host list and a weight store.
+//! Clients and types of the platform's services: a table service, an object store and a host list.
 
 mod error;
 mod http;
@@ -17,5 +17,5 @@
     Transaction, Write,
 };
 
-/// A boxed future, for methods of trait objects.
+/// A boxed future, returned by the async methods of object-safe traits.
 pub type BoxFuture<'a, T> = std::pin::Pin<Box<dyn Future<Output = T> + Send + 'a>>;
--- a/components/metadata/src/list.rs
+++ b/components/metadata/src/list.rs
@@ -7,7 +7,7 @@
 
 use crate::{BoxFuture, PlatformError};
 
-/// What a listed host runs.
+/// Program that a listed host runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
@@ -16,55 +16,55 @@
     Entry,
     /// A model engine.
     Engine,
-    /// A plain service.
+    /// A service without a model.
     Service,
-    /// A store host for kept cache.
+    /// A store of kept cache.
     Store,
 }
 
-/// What the platform says about a host.
+/// State of a listed host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
-    /// In use.
+    /// Accepts new work.
     Live,
-    /// About to go; must get no new work.
+    /// Draining; must get no new work.
     Leaving,
 }
 
-/// One entry of the platform's list.
+/// An entry of the platform's host list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ListedHost {
     /// Name of the host or target.
     pub id: Arc<str>,
-    /// What it runs.
+    /// Program that it runs.
     pub role: HostRole,
-    /// Region that it stands in.
+    /// Region of the host.
     pub region: RegionId,
     /// Failure domain inside the region.
     pub failure_domain: FailureDomainId,
-    /// Where it takes requests.
+    /// Address that it accepts requests on.
     pub address: SocketAddr,
-    /// Where an entry host takes datagrams and streams from its peers.
+    /// Address that an entry host receives datagrams and streams from its peers on.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub peer_address: Option<SocketAddr>,
-    /// Run of the process, when the platform knows it.
+    /// Incarnation of the process; the default if the platform does not list it.
     #[serde(default)]
     pub incarnation: Incarnation,
-    /// Live or leaving.
+    /// State of the host.
     pub state: HostState,
-    /// Models or services that a target offers.
+    /// Names of the models or services that a target serves.
     #[serde(default)]
     pub serves: Vec<Arc<str>>,
-    /// Whether a target refuses orders with an old fencing number.
+    /// Whether a target refuses orders with an outdated fencing token.
     #[serde(default)]
     pub checks_epochs: bool,
 }
 
-/// The platform's lagging list of hosts.
+/// The platform's list of hosts. The list lags behind the actual state of the hosts.
 pub trait HostList: Send + Sync {
-    /// All entries, as the platform knows them now.
+    /// Returns all entries that the platform currently lists.
     fn list(&self) -> BoxFuture<'_, Result<Vec<ListedHost>, Report<PlatformError>>>;
 }
--- a/components/metadata/src/memory.rs
+++ b/components/metadata/src/memory.rs
@@ -8,7 +8,7 @@
     TableService, Transaction, Write,
 };
 
-/// A table in memory, for stand-ins, specifications and tests.
+/// An in-memory table for stand-ins, specifications and tests.
 ///
 /// ```
 /// use metadata::{Committed, Expect, MemoryTable, Transaction};
@@ -20,7 +20,7 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct MemoryTable {
-    /// Rows and the last version.
+    /// Rows and the version of the last write.
     state: Mutex<State>,
 }
 
@@ -33,7 +33,7 @@
 }
 
 impl MemoryTable {
-    /// Runs a transaction at once.
+    /// Runs a transaction synchronously.
     pub fn apply(&self, tx: &Transaction) -> Committed {
         let mut state = self.lock();
         let failed: Vec<&Condition> = tx.conditions.iter().filter(|c| !state.holds(c)).collect();
@@ -49,12 +49,12 @@
         }
     }
 
-    /// The row with this key.
+    /// Returns the row with a key.
     pub fn get(&self, key: &str) -> Option<Row> {
         self.lock().rows.get(key).cloned()
     }
 
-    /// Rows in the order of their keys.
+    /// Returns the rows that a scan selects, in the order of their keys.
     pub fn range(&self, req: &ScanRequest) -> Vec<Row> {
         self.lock()
             .rows
--- a/components/metadata/src/table.rs
+++ b/components/metadata/src/table.rs
@@ -6,10 +6,10 @@
 /// Key of a row, for example `claim/mill/orders/7`.
 pub type RowKey = String;
 
-/// Version of a row; grows with every write to the table.
+/// Version of a row; increases with every write to the table.
 pub type RowVersion = u64;
 
-/// A row of the table.
+/// A row of the table service.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Row {
@@ -21,12 +21,12 @@
     pub version: RowVersion,
 }
 
-/// What a transaction expects of a row.
+/// Precondition of a transaction on the state of a row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Expect {
-    /// There is no such row.
+    /// The row does not exist.
     Absent,
     /// The row has exactly this version.
     Version(RowVersion),
@@ -38,7 +38,7 @@
 pub struct Condition {
     /// Key of the row.
     pub key: RowKey,
-    /// What must hold.
+    /// Required state of the row.
     pub expect: Expect,
 }
 
@@ -54,25 +54,25 @@
         /// New content.
         value: serde_json::Value,
     },
-    /// Removes a row; without effect if there is none.
+    /// Removes a row; no effect if it does not exist.
     Delete {
         /// Key of the row.
         key: RowKey,
     },
 }
 
-/// Writes that take effect together, if all conditions hold.
+/// Writes that are applied atomically if all conditions hold.
 #[derive(Debug, Clone, PartialEq, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct Transaction {
-    /// What must hold.
+    /// Conditions that must all hold.
     pub conditions: Vec<Condition>,
-    /// What is written then.
+    /// Writes that are applied if they hold.
     pub writes: Vec<Write>,
 }
 
 impl Transaction {
-    /// Adds a condition and a row to store.
+    /// Adds a write of a row and a condition on its current state.
     ///
     /// ```
     /// use metadata::{Expect, Transaction};
@@ -91,26 +91,26 @@
     }
 }
 
-/// The table service's answer to a transaction.
+/// Result of a transaction.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Committed {
-    /// All writes took effect.
+    /// All writes were applied.
     Applied {
-        /// Version of every row that was written.
+        /// Version of every written row.
         version: RowVersion,
     },
-    /// A condition did not hold; nothing took effect.
+    /// At least one condition did not hold; nothing was written.
     Refused {
-        /// The rows behind the failed conditions as they are; rows that do not exist are left out.
+        /// Current rows of the failed conditions, without rows that do not exist.
         rows: Vec<Row>,
         /// Keys of the failed conditions.
         keys: Vec<RowKey>,
     },
 }
 
-/// Body of a read.
+/// Body of a request to read rows.
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize)]
 pub struct ReadRequest {
@@ -118,26 +118,29 @@
     pub keys: Vec<RowKey>,
 }
 
-/// Body of a scan.
+/// Body of a request to scan rows.
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize)]
 pub struct ScanRequest {
-    /// Start of every key.
+    /// Prefix of the keys.
     pub prefix: String,
-    /// Only keys after this one.
+    /// Key after which the scan starts; the key itself is not included.
     pub after: RowKey,
-    /// Most rows in the answer.
+    /// Maximum number of rows in the answer.
     pub limit: usize,
 }
 
-/// The transactional table service. Transactions are linearizable; each call may fail with its effect unknown.
+/// The transactional table service.
+///
+/// Transactions are linearizable. A call may fail without the caller knowing whether it took effect; see
+/// [`PlatformError::is_without_effect`].
 pub trait TableService: Send + Sync {
     /// Runs a transaction.
     fn transact(&self, tx: Transaction) -> BoxFuture<'_, Result<Committed, Report<PlatformError>>>;
 
-    /// Reads rows as of one moment; the answer has one entry a key, in order.
+    /// Reads rows from one snapshot. The answer has one entry per key, in the order of the keys.
     fn read(&self, keys: Vec<RowKey>) -> BoxFuture<'_, Result<Vec<Option<Row>>, Report<PlatformError>>>;
 
-    /// Reads rows in the order of their keys.
+    /// Reads the rows that a scan selects, in the order of their keys.
     fn scan(&self, req: ScanRequest) -> BoxFuture<'_, Result<Vec<Row>, Report<PlatformError>>>;
 }
