--- a/components/config/src/check.rs
+++ b/components/config/src/check.rs
@@ -6,10 +6,10 @@
 use crate::ConfigError;
 use crate::fields::{FIELDS, Field};
 
-/// The values of a file with their places, by section and field.
+/// Values of a file with their positions, by section and field.
 type Sections = BTreeMap<String, BTreeMap<String, Spanned<serde_json::Value>>>;
 
-/// Checks every value that the text gives against what its field allows.
+/// Checks every value in the text against the allowed values of its field.
 ///
 /// # Errors
 /// [`ConfigError::NotAllowed`] for the first value that is not allowed, [`ConfigError::Syntax`] for text
@@ -21,14 +21,14 @@
         let Some(value) = find(&sections, field) else {
             continue;
         };
-        if !field.allowed.holds(&value.value) {
+        if !field.allowed.permits(&value.value) {
             return Err(Report::new(not_allowed(file, field, value)));
         }
     }
     Ok(())
 }
 
-/// The error for text that the parser refuses.
+/// Returns the error for text that the parser rejects.
 pub(crate) fn syntax(file: &str, e: &serde_saphyr::Error) -> Report<ConfigError> {
     let problem = e.to_string();
     Report::new(ConfigError::Syntax {
--- a/components/config/src/error.rs
+++ b/components/config/src/error.rs
@@ -1,4 +1,4 @@
-/// Why settings are not usable.
+/// Errors in settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum ConfigError {
@@ -8,26 +8,26 @@
         /// Path of the file.
         file: String,
     },
-    /// The text is not YAML or does not have the shape of settings.
+    /// The text is not YAML, or a field is missing, unknown or has the wrong type.
     #[error("{file}: {problem}")]
     Syntax {
         /// Path of the file.
         file: String,
-        /// What the parser says, with line and column.
+        /// Message of the parser, with line and column.
         problem: String,
     },
-    /// A value is not allowed.
+    /// A value is not allowed in its field.
     #[error("{file}:{line}: {field} is {found}; allowed is {allowed}")]
     NotAllowed {
         /// Path of the file.
         file: String,
         /// Line of the field, from 1.
         line: u64,
-        /// Path of the field, parts joined by dots.
+        /// Path of the field, with its parts joined by dots.
         field: String,
-        /// What stands there.
+        /// Value in the file, as JSON.
         found: String,
-        /// What may stand there.
+        /// Description of the allowed values.
         allowed: String,
     },
 }
--- a/components/config/src/fields.rs
+++ b/components/config/src/fields.rs
@@ -1,40 +1,40 @@
 use std::fmt;
 
-/// What may stand in a field.
+/// Allowed values of a field.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Allowed {
-    /// Letters, digits, hyphens and dots, at least one.
+    /// One or more letters, digits, hyphens and dots.
     Name,
     /// An IP address and a port.
     Address,
-    /// Path of a PEM file.
+    /// Path of a PEM file; also null.
     PemFile,
     /// 64 hexadecimal digits.
     HexDigits,
     /// One of these words.
     Words(&'static [&'static str]),
-    /// A whole number from the first to the second, both included.
+    /// A whole number from the first to the second value, inclusive.
     Range(u64, u64),
 }
 
 /// A field of the settings.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Field {
-    /// Path of the field, parts joined by dots.
+    /// Path of the field, with its parts joined by dots.
     pub path: &'static str,
-    /// Unit, or the kind of value.
+    /// Unit or kind of the value.
     pub unit: &'static str,
-    /// Default, or `required`.
+    /// Default value, `none` for an optional field, or `required`.
     pub default: &'static str,
-    /// What may stand there.
+    /// Allowed values.
     pub allowed: Allowed,
-    /// What the field does.
+    /// Description of the field for operators.
     pub meaning: &'static str,
 }
 
 impl Allowed {
-    /// Whether a value may stand in the field.
-    pub(crate) fn holds(self, value: &serde_json::Value) -> bool {
+    /// Returns whether a value is allowed in the field.
+    pub(crate) fn permits(self, value: &serde_json::Value) -> bool {
         let text = value.as_str();
         match self {
             Self::Name => text.is_some_and(is_name),
@@ -81,7 +81,7 @@
     }
 }
 
-/// Every field, in the order of the file.
+/// All fields, in the order of the file.
 pub(crate) const FIELDS: &[Field] = &[
     field(
         "host.id",
@@ -95,7 +95,7 @@
         "name",
         "required",
         Allowed::Name,
-        "Region that the host stands in.",
+        "Region of the host.",
     ),
     field(
         "host.failure_domain",
@@ -130,28 +130,28 @@
         "ip:port",
         "required",
         Allowed::Address,
-        "Table service, object store and host list.",
+        "Address of the table service, the object store and the host list.",
     ),
     field(
         "platform.list_interval_ms",
         "ms",
         "1000",
         Allowed::Range(100, 60_000),
-        "Time between two reads of the host list.",
+        "Interval between reads of the host list.",
     ),
     field(
         "platform.head_interval_ms",
         "ms",
         "500",
         Allowed::Range(100, 60_000),
-        "Time between two reads of the notes' head.",
+        "Interval between reads of the head of the release notes.",
     ),
     field(
         "platform.timeout_ms",
         "ms",
         "2000",
         Allowed::Range(50, 60_000),
-        "Longest wait for the platform's answer.",
+        "Maximum wait for an answer of the platform.",
     ),
     field(
         "peers.authority",
@@ -193,14 +193,14 @@
         "hex",
         "required",
         Allowed::HexDigits,
-        "Seals resume tokens; the same on all hosts.",
+        "Key that seals resume tokens; the same on all hosts.",
     ),
     field(
         "secrets.pieces",
         "hex",
         "required",
         Allowed::HexDigits,
-        "Names cache pieces; the same on all hosts.",
+        "Key that the names of cache pieces are derived from; the same on all hosts.",
     ),
     field(
         "threads.traffic",
@@ -214,81 +214,81 @@
         "bytes",
         "4194304",
         Allowed::Range(1_024, 1_073_741_824),
-        "Largest request body.",
+        "Maximum size of a request body.",
     ),
     field(
         "limits.head_bytes",
         "bytes",
         "16384",
         Allowed::Range(8_192, 1_048_576),
-        "Largest request head.",
+        "Maximum size of a request head.",
     ),
     field(
         "limits.headers",
         "headers",
         "64",
         Allowed::Range(16, 1_000),
-        "Most headers in a request.",
+        "Maximum number of headers in a request.",
     ),
     field(
         "limits.prompt_tokens",
         "tokens",
         "262144",
         Allowed::Range(1, 16_777_216),
-        "Longest prompt.",
+        "Maximum length of a prompt.",
     ),
     field(
         "limits.open_streams",
         "streams",
         "10000",
         Allowed::Range(1, 1_000_000),
-        "Most streams open at once on the host.",
+        "Maximum number of concurrent streams on the host.",
     ),
     field(
         "timeouts.header_ms",
         "ms",
         "10000",
         Allowed::Range(100, 600_000),
-        "For a caller to send the head of a request.",
+        "Maximum time for a caller to send the head of a request.",
     ),
     field(
         "timeouts.body_ms",
         "ms",
         "30000",
         Allowed::Range(100, 600_000),
-        "For a caller to send the body of a request.",
+        "Maximum time for a caller to send the body of a request.",
     ),
     field(
         "timeouts.first_event_ms",
         "ms",
         "10000",
         Allowed::Range(100, 600_000),
-        "For the first event of a target's answer.",
+        "Maximum time until the first event of a target's answer.",
     ),
     field(
         "timeouts.progress_ms",
         "ms",
         "2000",
         Allowed::Range(50, 600_000),
-        "Between two events of a target's answer.",
+        "Maximum time between two events of a target's answer.",
     ),
     field(
         "timeouts.drain_notice_ms",
         "ms",
         "3000",
         Allowed::Range(0, 600_000),
-        "From a stop signal to the end of accepting.",
+        "Time from a stop signal until the host stops accepting requests.",
     ),
     field(
         "log.format",
         "word",
         "text",
         Allowed::Words(&["text", "json"]),
-        "How log lines look.",
+        "Format of log lines.",
     ),
 ];
 
-/// Every field with its unit, default and allowed values, as a Markdown table.
+/// Returns all fields with their units, defaults, allowed values and meanings, as a Markdown table.
 ///
 /// ```
 /// assert!(config::explain().contains("| `threads.traffic` |"));
--- a/components/config/src/lib.rs
+++ b/components/config/src/lib.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry host in YAML: read, check, explain.
+//! Settings of an entry host: parsing from YAML, validation, and a description of every field.
 
 mod check;
 mod error;
--- a/components/config/src/settings.rs
+++ b/components/config/src/settings.rs
@@ -14,42 +14,42 @@
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Who the host is and where it stands.
+    /// Name and location of the host.
     pub host: HostSettings,
     /// Addresses that the host listens on.
     pub listen: ListenSettings,
-    /// Where the platform is.
+    /// Address of the platform, and intervals and timeout of calls to it.
     pub platform: PlatformSettings,
-    /// Keys for the traffic between entry hosts.
+    /// Certificates and key for the traffic between entry hosts.
     #[serde(default)]
     pub peers: PeerSettings,
-    /// Keys for the traffic with callers; plain HTTP without them.
+    /// Certificate and key for the traffic with callers; `None` for plain HTTP.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tls: Option<TlsSettings>,
     /// Secrets that all entry hosts of a deployment share.
     pub secrets: SecretSettings,
-    /// Threads.
+    /// Numbers of threads.
     #[serde(default)]
     pub threads: ThreadSettings,
-    /// Limits on what callers send.
+    /// Limits on requests of callers.
     #[serde(default)]
     pub limits: LimitSettings,
-    /// Longest waits.
+    /// Timeouts.
     #[serde(default)]
     pub timeouts: TimeoutSettings,
-    /// Logs.
+    /// Log output.
     #[serde(default)]
     pub log: LogSettings,
 }
 
-/// Who the host is and where it stands.
+/// Name and location of the host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HostSettings {
     /// Name, unique over all regions.
     pub id: HostId,
-    /// Region.
+    /// Region of the host.
     pub region: RegionId,
     /// Failure domain inside the region.
     pub failure_domain: FailureDomainId,
@@ -60,33 +60,33 @@
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenSettings {
-    /// For callers, over TCP.
+    /// Address for callers, over TCP.
     pub callers: SocketAddr,
-    /// For operators, over TCP.
+    /// Address for operators, over TCP.
     pub operators: SocketAddr,
-    /// For the other entry hosts, over UDP.
+    /// Address for the other entry hosts, over UDP.
     pub peers: SocketAddr,
 }
 
-/// Where the platform is.
+/// Address of the platform, and intervals and timeout of calls to it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
     /// Address of the table service, the object store and the host list.
     pub address: SocketAddr,
-    /// Time between two reads of the host list, in milliseconds.
+    /// Interval between reads of the host list, in milliseconds.
     #[serde(default = "default_list_ms")]
     pub list_interval_ms: u64,
-    /// Time between two reads of the head of the release notes, in milliseconds.
+    /// Interval between reads of the head of the release notes, in milliseconds.
     #[serde(default = "default_head_ms")]
     pub head_interval_ms: u64,
-    /// Longest wait for an answer, in milliseconds.
+    /// Maximum wait for an answer, in milliseconds.
     #[serde(default = "default_platform_timeout_ms")]
     pub timeout_ms: u64,
 }
 
-/// Keys for the traffic between entry hosts.
+/// Certificates and key for the traffic between entry hosts.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
@@ -99,7 +99,7 @@
     pub key: Option<PathBuf>,
 }
 
-/// Keys for the traffic with callers.
+/// Certificate and key for the traffic with callers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -115,81 +115,81 @@
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SecretSettings {
-    /// Seals resume tokens.
+    /// Key that seals resume tokens.
     pub resume: utils::Digest,
-    /// Names cache pieces and fingerprints of requests.
+    /// Key that the names of cache pieces and the fingerprints of requests are derived from.
     pub pieces: utils::Digest,
 }
 
-/// Threads.
+/// Numbers of threads.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ThreadSettings {
-    /// Threads that serve callers, 1 to 64.
+    /// Number of threads that serve callers, 1 to 64.
     pub traffic: usize,
 }
 
-/// Limits on what callers send.
+/// Limits on requests of callers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitSettings {
-    /// Largest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Largest head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// Most headers.
+    /// Maximum number of headers in a request.
     pub headers: usize,
-    /// Longest prompt, in tokens.
+    /// Maximum length of a prompt, in tokens.
     pub prompt_tokens: u32,
-    /// Most streams open at once on the host.
+    /// Maximum number of concurrent streams on the host.
     pub open_streams: usize,
 }
 
-/// Longest waits.
+/// Timeouts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct TimeoutSettings {
-    /// For a caller to send the head of a request, in milliseconds.
+    /// Maximum time for a caller to send the head of a request, in milliseconds.
     pub header_ms: u64,
-    /// For a caller to send the body of a request, in milliseconds.
+    /// Maximum time for a caller to send the body of a request, in milliseconds.
     pub body_ms: u64,
-    /// For the first event of a target's answer, in milliseconds.
+    /// Maximum time until the first event of a target's answer, in milliseconds.
     pub first_event_ms: u64,
-    /// Between two events of a target's answer, in milliseconds.
+    /// Maximum time between two events of a target's answer, in milliseconds.
     pub progress_ms: u64,
-    /// Between the start of a drain and the end of accepting, in milliseconds.
+    /// Time from the start of a drain until the host stops accepting requests, in milliseconds.
     pub drain_notice_ms: u64,
 }
 
-/// How log lines look.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// For a terminal.
+    /// Human-readable text for a terminal.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Logs.
+/// Log output.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// How lines look.
+    /// Format of log lines.
     pub format: LogFormat,
 }
 
 impl Settings {
-    /// Reads settings from a file.
+    /// Reads, checks and parses a settings file.
     ///
     /// # Errors
-    /// [`ConfigError`] names the file, and line and field where there is one.
+    /// [`ConfigError`] with the file, and with line and field if they are known.
     pub fn load(path: &Path) -> Result<Self, Report<ConfigError>> {
         let file = path.display().to_string();
         let text =
@@ -197,10 +197,10 @@
         Self::parse(&text, &file)
     }
 
-    /// Reads settings from text; `file` is used in errors.
+    /// Checks and parses the text of a settings file; `file` is the file name in errors.
     ///
     /// # Errors
-    /// As [`Settings::load`].
+    /// [`ConfigError`] as for [`Settings::load`], except for an unreadable file.
     pub fn parse(text: &str, file: &str) -> Result<Self, Report<ConfigError>> {
         check(text, file)?;
         serde_saphyr::from_str(text).map_err(|e| syntax(file, &e))
@@ -208,7 +208,7 @@
 }
 
 impl PlatformSettings {
-    /// Settings with defaults for a platform at `address`.
+    /// Creates settings with defaults for a platform at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Longest wait for an answer.
+    /// Returns the maximum wait for an answer.
     pub fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms)
     }
--- a/components/config/tests/settings.rs
+++ b/components/config/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings as operators write them: the examples are usable, mistakes are explained.
+//! Settings files of operators: the examples are valid, and errors state line, field and allowed values.
 
 use config::{Settings, explain};
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn the_examples_are_usable() {
+fn the_examples_are_valid() {
     let settings = Settings::parse(GOOD, "entry-1.yaml").unwrap();
     assert_eq!(&*settings.host.region, "valle-central");
     let other = include_str!("../../../examples/cadwaladr/entry-1.yaml");
