--- a/components/standins/src/answer.rs
+++ b/components/standins/src/answer.rs
@@ -2,16 +2,18 @@
 use targets::PieceId;
 use utils::WeightVersion;
 
-/// The text that a stand-in engine generates for a prompt. It depends on nothing but its arguments, so that
-/// any host and any checker can compute the right answer again.
+/// The text that a stand-in engine generates for a prompt.
+///
+/// It is a pure function of model, weight version and prompt, so any host and the checker can recompute the
+/// expected answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Answer {
-    /// Hash of model, version and prompt.
+    /// BLAKE3 hash of model, weight version and prompt; the tokens are derived from it.
     seed: [u8; 32],
 }
 
 impl Answer {
-    /// The answer of a model's weight version to a prompt.
+    /// Returns the expected answer of a model's weight version to a prompt.
     pub fn new(model: &str, version: WeightVersion, prompt: &str) -> Self {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&(model.len() as u64).to_le_bytes());
@@ -23,14 +25,14 @@
         }
     }
 
-    /// The answer that comes out when a cache block was damaged.
-    pub(crate) fn damaged(self) -> Self {
+    /// Returns the wrong answer that a corrupt cache block or a wrong continuation leads to.
+    pub(crate) fn corrupted(self) -> Self {
         Self {
             seed: *blake3::hash(&self.seed).as_bytes(),
         }
     }
 
-    /// The token at a position, from 0.
+    /// Returns the token at a position, counted from 0.
     pub fn token(&self, index: u32) -> String {
         let mut first = [0; 8];
         first.copy_from_slice(&self.seed[..8]);
@@ -38,13 +40,13 @@
         format!(" {:06x}", mixed >> 40)
     }
 
-    /// The first `tokens` tokens as one text.
+    /// Returns the first `tokens` tokens as one text.
     pub fn text(&self, tokens: u32) -> String {
         (0..tokens).map(|index| self.token(index)).collect()
     }
 }
 
-/// The token at a position of the right answer.
+/// Returns the token at a position of the expected answer.
 ///
 /// ```
 /// let token = standins::expected_token("draft", 1, "a prompt", 0);
@@ -55,7 +57,7 @@
     Answer::new(model, version, prompt).token(index)
 }
 
-/// The content of a cache piece that a weight version computes, `bytes` long.
+/// Returns the content of a cache piece as computed by a weight version, `bytes` long.
 ///
 /// ```
 /// let content = standins::expected_content(utils::digest(b"piece"), 1, 100);
@@ -70,7 +72,7 @@
     Bytes::from(content)
 }
 
-/// Finalizer of splitmix64.
+/// Mixes the bits of `x` with the finalizer of splitmix64.
 fn mix(x: u64) -> u64 {
     let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/components/standins/src/connection.rs
+++ b/components/standins/src/connection.rs
@@ -7,56 +7,57 @@
 use futures_lite::{AsyncRead, AsyncWrite};
 use smol::net::TcpStream;
 
-/// Number of a connection, in the order of their opening.
+/// Number of a connection; connections are numbered in the order in which they are accepted.
 pub(crate) type ConnectionNumber = u64;
 
-/// Decides which connections of a stand-in are silent.
+/// Numbers the connections of a stand-in and records which of them are silent.
 #[derive(Debug, Default)]
-pub(crate) struct Gate {
+pub(crate) struct ConnectionRegistry {
     /// Number of the next connection.
-    next: AtomicU64,
-    /// Connections with a lower number are silent for good.
+    next_number: AtomicU64,
+    /// Connections with a lower number are silent until they close.
     silent_below: AtomicU64,
 }
 
-impl Gate {
-    /// Silences every connection that is open now.
+impl ConnectionRegistry {
+    /// Makes every connection that is open now silent.
     pub(crate) fn silence(&self) {
-        let next = self.next.load(Ordering::SeqCst);
-        self.silent_below.store(next, Ordering::SeqCst);
+        let next_number = self.next_number.load(Ordering::SeqCst);
+        self.silent_below.store(next_number, Ordering::SeqCst);
     }
 
-    /// Connections that were ever opened.
-    pub(crate) fn opened(&self) -> u64 {
-        self.next.load(Ordering::SeqCst)
+    /// Returns the number of connections accepted since the start.
+    pub(crate) fn opened_count(&self) -> u64 {
+        self.next_number.load(Ordering::SeqCst)
     }
 
     pub(crate) fn is_silent(&self, number: ConnectionNumber) -> bool {
         number < self.silent_below.load(Ordering::SeqCst)
     }
 
-    pub(crate) fn admit(self: &Arc<Self>, stream: TcpStream) -> Connection {
+    pub(crate) fn register(self: &Arc<Self>, stream: TcpStream) -> Connection {
         Connection {
-            number: self.next.fetch_add(1, Ordering::SeqCst),
+            number: self.next_number.fetch_add(1, Ordering::SeqCst),
             stream,
-            gate: self.clone(),
+            registry: self.clone(),
         }
     }
 }
 
-/// A connection that can go silent: it stays open, reads nothing, and what it writes is lost.
+/// A connection that can become silent: the socket stays open, reads never complete, and written bytes are
+/// discarded.
 pub(crate) struct Connection {
-    /// Its number.
+    /// Number of the connection.
     pub(crate) number: ConnectionNumber,
     /// The socket.
     stream: TcpStream,
-    /// Says whether the connection is silent.
-    gate: Arc<Gate>,
+    /// Records whether the connection is silent.
+    registry: Arc<ConnectionRegistry>,
 }
 
 impl Connection {
     fn is_silent(&self) -> bool {
-        self.gate.is_silent(self.number)
+        self.registry.is_silent(self.number)
     }
 }
 
--- a/components/standins/src/engine/batch.rs
+++ b/components/standins/src/engine/batch.rs
@@ -10,37 +10,37 @@
 use crate::answer::Answer;
 use crate::running::unix_micros;
 
-/// Drafts that are kept after their end, for callers that come back.
-const HELD_DRAFTS: usize = 4_096;
+/// Maximum number of finished drafts that are kept to be resumed.
+const MAX_ENDED_DRAFTS: usize = 4_096;
 
 new_key_type! {
-    /// A draft in the batch.
+    /// Key of a draft in the batch.
     pub(crate) struct DraftKey;
 }
 
-/// What a draft generates, and when its tokens are ready.
+/// The tokens that a draft generates, and when they are ready.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Schedule {
-    /// When the prompt was processed.
-    pub(crate) since: Monotonic,
-    /// First token that is generated after that.
+    /// When the processing of the prompt ends.
+    pub(crate) prefill_end: Monotonic,
+    /// Index of the first token that is generated after that.
     pub(crate) first_index: u32,
-    /// Tokens of the prompt that came from cache.
+    /// Number of prompt tokens that were read from cache.
     pub(crate) cached_tokens: u32,
-    /// The tokens.
+    /// The generated tokens.
     pub(crate) answer: Answer,
-    /// Tokens in the whole answer.
+    /// Number of tokens in the whole answer.
     pub(crate) max_tokens: u32,
 }
 
-/// A resume names a draft that the engine does not hold.
+/// Error of a resume request for a draft that the engine does not have.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct NotHeld;
+pub(crate) struct DraftNotFound;
 
-/// Tells a waiting stream its schedule; dropped when the draft is cancelled.
-type Notice = async_channel::Sender<Schedule>;
+/// Sends the schedule to a waiting stream; dropped when the draft is cancelled.
+type ScheduleSender = async_channel::Sender<Schedule>;
 
-/// Where a draft is.
+/// Processing phase of a draft.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
     Waiting,
@@ -48,51 +48,52 @@
     Decoding { until: Monotonic },
 }
 
+/// A draft that is waiting or running.
 #[derive(Debug)]
 struct Draft {
     /// The request that started it.
     req: DraftRequest,
-    /// Where it is.
+    /// Current phase.
     phase: Phase,
-    /// Set once the prompt's processing starts.
+    /// Set when the processing of the prompt starts.
     schedule: Option<Schedule>,
-    /// Streams that wait for the schedule.
-    notices: Vec<Notice>,
-    /// Pieces kept for it.
-    pinned: usize,
-    /// When it came, in microseconds since the Unix epoch.
+    /// Channels of the streams that wait for the schedule.
+    schedule_txs: Vec<ScheduleSender>,
+    /// Number of leading pieces that are pinned in the cache for the draft.
+    pinned_blocks: usize,
+    /// When the request was received, in microseconds since the Unix epoch.
     at_micros: u64,
 }
 
-/// Continuous batching: one prompt is processed at a time, several drafts generate at once.
+/// Simulates continuous batching: one prompt is processed at a time while several drafts generate tokens.
 #[derive(Debug)]
 pub(crate) struct Batch {
-    /// Drafts that wait or run.
+    /// Drafts that are waiting or running.
     drafts: SlotMap<DraftKey, Draft>,
-    /// Drafts that wait, in the order in which they start.
+    /// Waiting drafts by priority and arrival number, in the order in which they start.
     waiting: BTreeMap<(u8, u64), DraftKey>,
-    /// The draft whose prompt is processed.
+    /// The draft whose prompt is being processed.
     prefilling: Option<DraftKey>,
-    /// Drafts that generate.
+    /// Drafts that are generating tokens.
     decoding: Vec<DraftKey>,
-    /// Drafts by request.
+    /// Waiting and running drafts by request.
     by_request: HashMap<RequestId, DraftKey>,
-    /// Drafts that ended, by request.
+    /// Finished drafts by request.
     ended: HashMap<RequestId, (DraftRequest, Schedule)>,
-    /// Their requests, oldest first.
+    /// Requests of the finished drafts, oldest first.
     ended_order: VecDeque<RequestId>,
-    /// Order of arrival.
-    arrivals: u64,
+    /// Arrival number of the next draft.
+    next_arrival: u64,
 }
 
-/// Figures of a batch for the load report.
+/// Occupancy of a batch, for the load report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Occupancy {
-    /// Prompt tokens that wait for processing.
+    /// Number of prompt tokens that are not processed yet, including those of the current prompt.
     pub(crate) queued_prompt_tokens: u64,
-    /// Drafts that generate.
+    /// Number of drafts that are generating tokens.
     pub(crate) running: u32,
-    /// Drafts that wait.
+    /// Number of drafts that are waiting.
     pub(crate) waiting: u32,
 }
 
@@ -106,61 +107,66 @@
             by_request: HashMap::new(),
             ended: HashMap::new(),
             ended_order: VecDeque::new(),
-            arrivals: 0,
+            next_arrival: 0,
         }
     }
 
-    /// Whether a draft that `req` can go on with is running or was kept.
-    pub(crate) fn holds(&self, req: &DraftRequest) -> bool {
+    /// Whether there is a waiting, running or finished draft that `req` can resume.
+    pub(crate) fn can_resume(&self, req: &DraftRequest) -> bool {
         let running = self.by_request.get(&req.request_id);
-        running.is_some_and(|key| continues(&self.drafts[*key].req, req))
+        running.is_some_and(|key| is_continuation(&self.drafts[*key].req, req))
             || self
                 .ended
                 .get(&req.request_id)
-                .is_some_and(|(held, _)| continues(held, req))
+                .is_some_and(|(earlier, _)| is_continuation(earlier, req))
     }
 
-    /// Adds a draft, or a stream to the draft that the request already has; its schedule comes through `notice`.
-    pub(crate) fn submit(&mut self, req: DraftRequest, notice: Notice) -> Result<(), NotHeld> {
+    /// Adds a draft, or a stream to an existing draft that `req` can resume; the schedule is sent through
+    /// `schedule_tx`.
+    pub(crate) fn submit(
+        &mut self,
+        req: DraftRequest,
+        schedule_tx: ScheduleSender,
+    ) -> Result<(), DraftNotFound> {
         if let Some(key) = self.by_request.get(&req.request_id) {
             let draft = &mut self.drafts[*key];
-            if continues(&draft.req, &req) {
-                draft.join(notice);
+            if is_continuation(&draft.req, &req) {
+                draft.add_stream(schedule_tx);
                 return Ok(());
             }
         }
-        if let Some((held, schedule)) = self.ended.get(&req.request_id)
-            && continues(held, &req)
+        if let Some((earlier, schedule)) = self.ended.get(&req.request_id)
+            && is_continuation(earlier, &req)
         {
-            let _ = notice.try_send(*schedule);
+            let _ = schedule_tx.try_send(*schedule);
             return Ok(());
         }
         if req.resume_only {
-            return Err(NotHeld);
+            return Err(DraftNotFound);
         }
         let (id, priority) = (req.request_id, req.priority);
         let key = self.drafts.insert(Draft {
             req,
             phase: Phase::Waiting,
             schedule: None,
-            notices: vec![notice],
-            pinned: 0,
+            schedule_txs: vec![schedule_tx],
+            pinned_blocks: 0,
             at_micros: unix_micros(),
         });
-        self.waiting.insert((priority, self.arrivals), key);
-        self.arrivals += 1;
+        self.waiting.insert((priority, self.next_arrival), key);
+        self.next_arrival += 1;
         self.by_request.insert(id, key);
         Ok(())
     }
 
-    /// Stops a request's draft; its streams end without an end event.
+    /// Cancels the draft of a request; streams that have no schedule yet are interrupted.
     pub(crate) fn cancel(&mut self, id: RequestId, cache: &mut Cache) {
         if let Some(key) = self.by_request.get(&id).copied() {
             self.remove(key, cache);
         }
     }
 
-    /// Moves on to `now`; gives the time of the next change, if there is one.
+    /// Advances the batch to `now`; returns the time of the next change, if there is one.
     pub(crate) fn advance(
         &mut self,
         now: Monotonic,
@@ -169,10 +175,10 @@
         record: &mut EngineRecord,
     ) -> Option<Monotonic> {
         loop {
-            let mut moved = self.finish_decoding(now, cache);
-            moved |= self.finish_prefill(now, cfg, cache);
-            moved |= self.start_prefill(now, cfg, cache, record);
-            if !moved {
+            let mut changed = self.finish_decoding(now, cache);
+            changed |= self.finish_prefill(now, cfg, cache);
+            changed |= self.start_prefill(now, cfg, cache, record);
+            if !changed {
                 return self.next_change();
             }
         }
@@ -190,21 +196,21 @@
     }
 
     fn finish_decoding(&mut self, now: Monotonic, cache: &mut Cache) -> bool {
-        let is_done = |key: &&DraftKey| self.drafts[**key].until().is_some_and(|until| until <= now);
+        let is_done = |key: &&DraftKey| self.drafts[**key].phase_end().is_some_and(|end| end <= now);
         let done: Vec<DraftKey> = self.decoding.iter().filter(is_done).copied().collect();
         for key in &done {
             if let Some((mut req, schedule)) = self.remove(*key, cache) {
                 req.prompt = String::new();
-                self.hold(req, schedule);
+                self.keep_ended(req, schedule);
             }
         }
         !done.is_empty()
     }
 
-    fn hold(&mut self, req: DraftRequest, schedule: Schedule) {
+    fn keep_ended(&mut self, req: DraftRequest, schedule: Schedule) {
         self.ended_order.push_back(req.request_id);
         self.ended.insert(req.request_id, (req, schedule));
-        if self.ended_order.len() > HELD_DRAFTS
+        if self.ended_order.len() > MAX_ENDED_DRAFTS
             && let Some(oldest) = self.ended_order.pop_front()
         {
             self.ended.remove(&oldest);
@@ -216,19 +222,19 @@
             return false;
         };
         let draft = &mut self.drafts[key];
-        if draft.until().is_none_or(|until| until > now) {
+        if draft.phase_end().is_none_or(|end| end > now) {
             return false;
         }
-        let right = right_answer(&draft.req);
-        let intact = draft.schedule.is_none_or(|s| s.answer == right);
+        let expected = expected_answer(&draft.req);
+        let intact = draft.schedule.is_none_or(|s| s.answer == expected);
         for piece in &draft.req.pieces {
             let workspace = Some(draft.req.workspace.clone());
             cache.store(now, *piece, workspace, draft.req.weight_version, intact);
         }
         let tokens = draft.req.max_tokens.saturating_sub(draft.req.offset);
-        let since = draft.schedule.map_or(now, |s| s.since);
+        let prefill_end = draft.schedule.map_or(now, |s| s.prefill_end);
         draft.phase = Phase::Decoding {
-            until: since + cfg.time_per_output_token * tokens,
+            until: prefill_end + cfg.time_per_output_token * tokens,
         };
         self.prefilling = None;
         self.decoding.push(key);
@@ -249,15 +255,15 @@
             return false;
         };
         let draft = &mut self.drafts[key];
-        let blocks = cache.prefix(&draft.req.pieces);
-        draft.use_blocks(&blocks, cache, &mut record.uses);
+        let blocks = cache.cached_prefix(&draft.req.pieces);
+        draft.pin_blocks(&blocks, cache, &mut record.uses);
         let cached_tokens = (blocks.len() as u32 * PIECE_TOKENS).min(draft.req.prompt_tokens);
         let uncached = draft.req.prompt_tokens - cached_tokens + draft.req.offset;
-        let since = now + cfg.time_per_prompt_token * uncached;
-        draft.phase = Phase::Prefilling { until: since };
-        record.drafts.push(draft.run(cached_tokens));
-        draft.begin(Schedule {
-            since,
+        let prefill_end = now + cfg.time_per_prompt_token * uncached;
+        draft.phase = Phase::Prefilling { until: prefill_end };
+        record.drafts.push(draft.to_record(cached_tokens));
+        draft.set_schedule(Schedule {
+            prefill_end,
             first_index: draft.req.offset,
             cached_tokens,
             answer: draft.answer(&blocks),
@@ -269,12 +275,12 @@
 
     fn next_change(&self) -> Option<Monotonic> {
         let running = self.decoding.iter().chain(&self.prefilling);
-        running.filter_map(|key| self.drafts[*key].until()).min()
+        running.filter_map(|key| self.drafts[*key].phase_end()).min()
     }
 
     fn remove(&mut self, key: DraftKey, cache: &mut Cache) -> Option<(DraftRequest, Schedule)> {
         let draft = self.drafts.remove(key)?;
-        for piece in &draft.req.pieces[..draft.pinned] {
+        for piece in &draft.req.pieces[..draft.pinned_blocks] {
             cache.unpin(piece);
         }
         self.waiting.retain(|_, other| *other != key);
@@ -290,15 +296,15 @@
 }
 
 impl Draft {
-    /// When the phase ends.
-    fn until(&self) -> Option<Monotonic> {
+    /// Returns when the current phase ends; `None` for a waiting draft.
+    fn phase_end(&self) -> Option<Monotonic> {
         match self.phase {
             Phase::Waiting => None,
             Phase::Prefilling { until } | Phase::Decoding { until } => Some(until),
         }
     }
 
-    fn run(&self, cached_tokens: u32) -> DraftRun {
+    fn to_record(&self, cached_tokens: u32) -> DraftRun {
         DraftRun {
             request_id: self.req.request_id,
             attempt: self.req.attempt,
@@ -313,34 +319,34 @@
         }
     }
 
-    /// The answer that comes out of these blocks and of what is to be continued.
+    /// Returns the expected answer, or a wrong one if a cache block is corrupt or `continued` is wrong.
     fn answer(&self, blocks: &[Block]) -> Answer {
-        let right = right_answer(&self.req);
-        let continues = self.req.offset == 0 || self.req.continued == right.text(self.req.offset);
-        if continues && blocks.iter().all(|block| block.intact) {
-            right
+        let expected = expected_answer(&self.req);
+        let continues_answer = self.req.offset == 0 || self.req.continued == expected.text(self.req.offset);
+        if continues_answer && blocks.iter().all(|block| block.intact) {
+            expected
         } else {
-            right.damaged()
+            expected.corrupted()
         }
     }
 
-    fn join(&mut self, notice: Notice) {
+    fn add_stream(&mut self, schedule_tx: ScheduleSender) {
         match self.schedule {
             Some(schedule) => {
-                let _ = notice.try_send(schedule);
+                let _ = schedule_tx.try_send(schedule);
             }
-            None => self.notices.push(notice),
+            None => self.schedule_txs.push(schedule_tx),
         }
     }
 
-    fn begin(&mut self, schedule: Schedule) {
+    fn set_schedule(&mut self, schedule: Schedule) {
         self.schedule = Some(schedule);
-        for notice in self.notices.drain(..) {
-            let _ = notice.try_send(schedule);
+        for schedule_tx in self.schedule_txs.drain(..) {
+            let _ = schedule_tx.try_send(schedule);
         }
     }
 
-    fn use_blocks(&mut self, blocks: &[Block], cache: &mut Cache, uses: &mut Vec<PieceUse>) {
+    fn pin_blocks(&mut self, blocks: &[Block], cache: &mut Cache, uses: &mut Vec<PieceUse>) {
         for (piece, block) in self.req.pieces.iter().zip(blocks) {
             cache.pin(piece);
             uses.push(PieceUse {
@@ -353,15 +359,17 @@
                 intact: block.intact,
             });
         }
-        self.pinned = blocks.len();
+        self.pinned_blocks = blocks.len();
     }
 }
 
-fn right_answer(req: &DraftRequest) -> Answer {
+fn expected_answer(req: &DraftRequest) -> Answer {
     Answer::new(&req.model, req.weight_version, &req.prompt)
 }
 
-/// Whether a request can go on with the draft of another one.
-fn continues(held: &DraftRequest, req: &DraftRequest) -> bool {
-    held.offset <= req.offset && held.weight_version == req.weight_version && held.workspace == req.workspace
+/// Whether `req` can resume the draft of an earlier request.
+fn is_continuation(earlier: &DraftRequest, req: &DraftRequest) -> bool {
+    earlier.offset <= req.offset
+        && earlier.weight_version == req.weight_version
+        && earlier.workspace == req.workspace
 }
--- a/components/standins/src/engine/cache.rs
+++ b/components/standins/src/engine/cache.rs
@@ -3,8 +3,8 @@
 use targets::{CacheEvent, CacheEvents, CacheSnapshot, PieceId};
 use utils::{Monotonic, WeightVersion, WorkspaceId};
 
-/// Cache events that are kept for readers.
-const KEPT_EVENTS: usize = 8_192;
+/// Maximum number of cache events that are kept for readers.
+const MAX_EVENTS: usize = 8_192;
 
 /// A piece in an engine's memory.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -13,30 +13,30 @@
     pub(crate) workspace: Option<WorkspaceId>,
     /// Weight version that computed it.
     pub(crate) weight_version: WeightVersion,
-    /// Whether its content is right.
+    /// Whether its content is correct.
     pub(crate) intact: bool,
-    /// Age rank: the lowest is evicted first.
-    used: u64,
-    /// Running drafts that use it.
+    /// Logical time of the last use; the lowest is evicted first.
+    last_use: u64,
+    /// Number of running drafts that use it.
     pins: u32,
 }
 
-/// A bounded cache of pieces with eviction of the least recently used.
+/// A bounded cache of pieces that evicts the least recently used.
 #[derive(Debug)]
 pub(crate) struct Cache {
-    /// Pieces that fit.
+    /// Maximum number of pieces.
     capacity: usize,
     /// Pieces in memory.
     blocks: HashMap<PieceId, Block>,
-    /// Pieces by age rank.
-    by_age: BTreeMap<u64, PieceId>,
-    /// Next age rank.
+    /// Pieces by the logical time of their last use.
+    by_last_use: BTreeMap<u64, PieceId>,
+    /// Logical time of the next use.
     clock: u64,
-    /// Events with their time; the last has the number `next - 1`.
+    /// Events with their time; the last one has the number `next_event - 1`.
     events: VecDeque<(Monotonic, CacheEvent)>,
     /// Number of the next event.
-    next: u64,
-    /// Run of the process.
+    next_event: u64,
+    /// Incarnation of the process.
     incarnation: u64,
 }
 
@@ -45,16 +45,16 @@
         Self {
             capacity: capacity as usize,
             blocks: HashMap::new(),
-            by_age: BTreeMap::new(),
+            by_last_use: BTreeMap::new(),
             clock: 0,
             events: VecDeque::new(),
-            next: 0,
+            next_event: 0,
             incarnation,
         }
     }
 
-    /// The longest prefix of `pieces` that is in memory.
-    pub(crate) fn prefix(&self, pieces: &[PieceId]) -> Vec<Block> {
+    /// Returns the blocks of the longest prefix of `pieces` that is in memory.
+    pub(crate) fn cached_prefix(&self, pieces: &[PieceId]) -> Vec<Block> {
         pieces
             .iter()
             .map_while(|piece| self.blocks.get(piece).cloned())
@@ -65,15 +65,15 @@
         self.blocks.get(piece)
     }
 
-    /// Marks a piece as used now and keeps it until it is unpinned.
+    /// Marks a piece as used now and protects it from eviction until it is unpinned.
     pub(crate) fn pin(&mut self, piece: &PieceId) {
         let Some(block) = self.blocks.get_mut(piece) else {
             return;
         };
-        self.by_age.remove(&block.used);
-        block.used = self.clock;
+        self.by_last_use.remove(&block.last_use);
+        block.last_use = self.clock;
         block.pins += 1;
-        self.by_age.insert(self.clock, *piece);
+        self.by_last_use.insert(self.clock, *piece);
         self.clock += 1;
     }
 
@@ -83,7 +83,8 @@
         }
     }
 
-    /// Takes a piece into memory; evicts others if there is no room.
+    /// Stores a piece. A full cache first evicts its least recently used piece that is not pinned; if all are
+    /// pinned, the new piece is not stored.
     pub(crate) fn store(
         &mut self,
         now: Monotonic,
@@ -99,24 +100,24 @@
             workspace,
             weight_version,
             intact,
-            used: self.clock,
+            last_use: self.clock,
             pins: 0,
         };
         self.blocks.insert(piece, block);
-        self.by_age.insert(self.clock, piece);
+        self.by_last_use.insert(self.clock, piece);
         self.clock += 1;
         self.publish(now, CacheEvent::Stored(piece));
     }
 
-    /// Drops the pieces of one weight version that no draft uses.
+    /// Evicts the pieces of a weight version that no draft uses.
     pub(crate) fn drop_version(&mut self, now: Monotonic, version: WeightVersion) {
-        let old: Vec<PieceId> = self
+        let unused: Vec<PieceId> = self
             .blocks
             .iter()
             .filter(|(_, block)| block.weight_version == version && block.pins == 0)
             .map(|(piece, _)| *piece)
             .collect();
-        for piece in old {
+        for piece in unused {
             self.evict(now, piece);
         }
     }
@@ -125,8 +126,8 @@
         if self.blocks.len() < self.capacity {
             return true;
         }
-        let free = |piece: &&PieceId| self.blocks.get(*piece).is_some_and(|block| block.pins == 0);
-        let Some(piece) = self.by_age.values().find(free).copied() else {
+        let is_unpinned = |piece: &&PieceId| self.blocks.get(*piece).is_some_and(|block| block.pins == 0);
+        let Some(piece) = self.by_last_use.values().find(is_unpinned).copied() else {
             return false;
         };
         self.evict(now, piece);
@@ -135,23 +136,23 @@
 
     fn evict(&mut self, now: Monotonic, piece: PieceId) {
         if let Some(block) = self.blocks.remove(&piece) {
-            self.by_age.remove(&block.used);
+            self.by_last_use.remove(&block.last_use);
             self.publish(now, CacheEvent::Evicted(piece));
         }
     }
 
     fn publish(&mut self, now: Monotonic, event: CacheEvent) {
         self.events.push_back((now, event));
-        self.next += 1;
-        if self.events.len() > KEPT_EVENTS {
+        self.next_event += 1;
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
 
-    /// Events from a number on that were published before `until`.
+    /// Returns the events from number `from` on that were published no later than `until`.
     pub(crate) fn events(&self, from: u64, until: Monotonic) -> CacheEvents {
-        let oldest = self.next - self.events.len() as u64;
-        let first = from.clamp(oldest, self.next);
+        let oldest = self.next_event - self.events.len() as u64;
+        let first = from.clamp(oldest, self.next_event);
         let events = self
             .events
             .iter()
@@ -169,7 +170,7 @@
     pub(crate) fn snapshot(&self) -> CacheSnapshot {
         CacheSnapshot {
             incarnation: self.incarnation,
-            next: self.next,
+            next: self.next_event,
             pieces: self.blocks.keys().copied().collect(),
         }
     }
--- a/components/standins/src/engine/config.rs
+++ b/components/standins/src/engine/config.rs
@@ -12,36 +12,36 @@
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EngineConfig {
-    /// Name in the host list.
+    /// Identifier in the host list.
     pub id: Arc<str>,
-    /// Models and weight versions that are loaded at the start.
+    /// Models with the weight versions that are loaded at the start.
     pub models: Vec<(ModelId, WeightVersion)>,
-    /// Drafts that generate at once.
+    /// Maximum number of drafts that generate tokens at the same time.
     pub slots: u32,
-    /// Time to process a token of the prompt that is not in cache.
+    /// Time to process a prompt token that is not in cache.
     #[serde(with = "crate::time_text")]
     pub time_per_prompt_token: Duration,
     /// Time to generate a token.
     #[serde(with = "crate::time_text")]
     pub time_per_output_token: Duration,
-    /// Cache pieces that fit in memory.
+    /// Maximum number of cache pieces in memory.
     pub cache_pieces: u32,
-    /// Bytes of a full piece when it is exported.
+    /// Size of an exported piece, in bytes.
     pub piece_bytes: u32,
-    /// Oldest age of a load report.
+    /// Maximum age of a load report.
     #[serde(with = "crate::time_text")]
     pub load_lag: Duration,
-    /// Time until a cache event is published.
+    /// Delay until a cache event is visible to readers.
     #[serde(with = "crate::time_text")]
     pub event_lag: Duration,
-    /// Whether an order with an old fencing number is refused.
+    /// Whether orders with an outdated fencing token are refused.
     pub checks_epochs: bool,
-    /// Platform that hands out weights; without one they load in `load_time`.
+    /// Platform that serves weights; without it, loading a version takes `load_time`.
     pub weights: Option<SocketAddr>,
-    /// Time to load a version when there is no platform.
+    /// Time to load a version if no platform is set or it is unavailable.
     #[serde(with = "crate::time_text")]
     pub load_time: Duration,
-    /// Seed of the faults.
+    /// Seed of the random generator that decides about faults.
     pub seed: u64,
 }
 
@@ -70,26 +70,26 @@
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EngineFaults {
-    /// The process dies when a prompt that holds this text starts.
+    /// The process crashes when it receives a draft whose prompt contains this text.
     pub crash_marker: Option<String>,
-    /// Drafts answer late.
+    /// The first event of a draft is delayed by `late_ms`.
     pub late: Odds,
-    /// How late, in milliseconds.
+    /// Delay of a late draft, in milliseconds.
     pub late_ms: u64,
-    /// The answer carries another request's identifier.
+    /// The events carry another request identifier.
     pub cross_answers: Odds,
-    /// The answer ends without its end event.
+    /// The stream stops after half of the tokens, without an end event.
     pub cut_short: Odds,
-    /// The end event has a wrong count.
+    /// The end event has a wrong token count.
     pub wrong_count: Odds,
-    /// A token's event is sent twice.
+    /// The event of the first token is sent twice.
     pub duplicate_events: Odds,
-    /// A batch of cache events loses its first half.
+    /// A read of cache events loses its first half.
     pub event_gaps: Odds,
-    /// Added to the lag of cache events, in milliseconds.
+    /// Additional delay of cache events, in milliseconds.
     pub event_lag_ms: u64,
-    /// Added to each load of weights, in milliseconds.
+    /// Additional time of each load of weights, in milliseconds.
     pub slow_load_ms: u64,
-    /// Imports are used without a check. For tests of the checker.
+    /// Imported pieces are used even if they fail verification. For tests of the checker.
     pub skip_import_check: bool,
 }
--- a/components/standins/src/engine/draft.rs
+++ b/components/standins/src/engine/draft.rs
@@ -11,79 +11,79 @@
 use super::server::Engine;
 use crate::answer::Answer;
 
-/// The faults that hit one draft's stream.
+/// The faults that are injected into the stream of one draft.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct DraftHits {
-    /// Added before the first event.
+pub(crate) struct DraftFaults {
+    /// Delay before the first event.
     pub(crate) delay: Duration,
-    /// The events carry another identifier.
-    pub(crate) cross: bool,
-    /// No end event.
+    /// Whether the events carry another request identifier.
+    pub(crate) wrong_request_id: bool,
+    /// Whether the stream stops halfway, without an end event.
     pub(crate) cut_short: bool,
-    /// The end event's count is wrong.
+    /// Whether the token count of the end event is wrong.
     pub(crate) wrong_count: bool,
-    /// The first token's event comes twice.
+    /// Whether the event of the first token is sent twice.
     pub(crate) duplicate: bool,
 }
 
-/// What the stream sends next.
+/// The event that the stream sends next.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Start,
     Token(u32),
-    Again(u32),
+    Duplicate(u32),
     End,
     Done,
 }
 
-/// The events of one draft for one caller.
+/// The event stream of one draft for one caller.
 pub(crate) struct DraftEvents {
-    /// Gives the time.
+    /// The engine, for its clock and settings.
     engine: Arc<Engine>,
     /// The request.
     req: DraftRequest,
-    /// Identifier in the events.
+    /// Request identifier in the events.
     request_id: RequestId,
-    /// Brings the schedule.
-    notice: async_channel::Receiver<Schedule>,
-    /// What is generated, and when.
+    /// Receives the schedule; closed when the draft is cancelled.
+    schedule_rx: async_channel::Receiver<Schedule>,
+    /// The tokens and the times at which they are ready; a placeholder until the schedule is received.
     schedule: Schedule,
-    /// What comes next.
+    /// The event to send next.
     step: Step,
-    /// Faults.
-    hits: DraftHits,
+    /// Faults of this stream.
+    faults: DraftFaults,
 }
 
 impl DraftEvents {
     pub(crate) fn new(
         engine: Arc<Engine>,
         req: DraftRequest,
-        notice: async_channel::Receiver<Schedule>,
-        hits: DraftHits,
+        schedule_rx: async_channel::Receiver<Schedule>,
+        faults: DraftFaults,
     ) -> Self {
         let schedule = Schedule {
-            since: Monotonic::ZERO,
+            prefill_end: Monotonic::ZERO,
             first_index: req.offset,
             cached_tokens: 0,
             answer: Answer::new(&req.model, req.weight_version, &req.prompt),
             max_tokens: req.max_tokens,
         };
         Self {
-            request_id: if hits.cross {
+            request_id: if faults.wrong_request_id {
                 !req.request_id
             } else {
                 req.request_id
             },
             engine,
             req,
-            notice,
+            schedule_rx,
             schedule,
             step: Step::Start,
-            hits,
+            faults,
         }
     }
 
-    /// The body that sends the events as they are ready.
+    /// Converts the events into a response body that sends each when it is ready.
     pub(crate) fn into_body(self) -> Body {
         stream_body(stream::unfold(self, |mut events| async move {
             let chunk = events.next().await?;
@@ -95,10 +95,10 @@
         let event = match self.step {
             Step::Start => match self.start().await {
                 Some(event) => event,
-                // The draft was cancelled.
+                // The draft was cancelled before it had a schedule.
                 None => return Some(Err(HttpError::Interrupted)),
             },
-            Step::Token(index) | Step::Again(index) => self.token(index).await,
+            Step::Token(index) | Step::Duplicate(index) => self.token(index).await,
             Step::End => self.end(),
             Step::Done => return None,
         };
@@ -107,11 +107,11 @@
     }
 
     async fn start(&mut self) -> Option<DraftEvent> {
-        self.schedule = self.notice.recv().await.ok()?;
-        if !self.hits.delay.is_zero() {
-            smol::Timer::after(self.hits.delay).await;
+        self.schedule = self.schedule_rx.recv().await.ok()?;
+        if !self.faults.delay.is_zero() {
+            smol::Timer::after(self.faults.delay).await;
         }
-        self.step = self.step_to(self.req.offset);
+        self.step = self.step_at(self.req.offset);
         let mut event = self.event();
         event.start = Some(DraftStart {
             weight_version: self.req.weight_version,
@@ -122,14 +122,15 @@
 
     async fn token(&mut self, index: u32) -> DraftEvent {
         let cfg = self.engine.config();
-        let place = index.saturating_sub(self.schedule.first_index) + 1;
-        let ready = self.schedule.since + cfg.time_per_output_token * place;
+        let position = index.saturating_sub(self.schedule.first_index) + 1;
+        let ready = self.schedule.prefill_end + cfg.time_per_output_token * position;
         self.engine.sleep_until(ready).await;
-        let repeats = self.hits.duplicate && index == self.req.offset && matches!(self.step, Step::Token(_));
-        self.step = if repeats {
-            Step::Again(index)
+        let is_duplicated =
+            self.faults.duplicate && index == self.req.offset && matches!(self.step, Step::Token(_));
+        self.step = if is_duplicated {
+            Step::Duplicate(index)
         } else {
-            self.step_to(index + 1)
+            self.step_at(index + 1)
         };
         let mut event = self.event();
         event.chunk = Some(DraftChunk {
@@ -143,13 +144,13 @@
         self.step = Step::Done;
         let mut event = self.event();
         event.end = Some(DraftEnd {
-            tokens: self.schedule.max_tokens + u32::from(self.hits.wrong_count),
+            tokens: self.schedule.max_tokens + u32::from(self.faults.wrong_count),
         });
         event
     }
 
-    fn step_to(&self, index: u32) -> Step {
-        if self.hits.cut_short && index >= self.schedule.max_tokens.div_ceil(2) {
+    fn step_at(&self, index: u32) -> Step {
+        if self.faults.cut_short && index >= self.schedule.max_tokens.div_ceil(2) {
             Step::Done
         } else if index < self.schedule.max_tokens {
             Step::Token(index)
--- a/components/standins/src/engine/mod.rs
+++ b/components/standins/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a model engine.
+//! Stand-in for a model engine: continuous batching, a cache of pieces, orders and load reports.
 
 mod batch;
 mod cache;
@@ -10,5 +10,5 @@
 mod transfer;
 
 pub use config::{EngineConfig, EngineFaults};
-pub use record::{DraftRun, EngineRecord, ImportRun, OrderRun, PieceUse};
+pub use record::{DraftRun, EngineRecord, ImportRun, PieceUse, ReceivedOrder};
 pub use server::Engine;
--- a/components/standins/src/engine/orders.rs
+++ b/components/standins/src/engine/orders.rs
@@ -5,26 +5,28 @@
 use targets::{Order, OrderKind, OrderReply};
 use utils::{ModelId, WeightVersion};
 
-use super::record::OrderRun;
+use super::record::ReceivedOrder;
 use super::server::Engine;
 use crate::running::unix_micros;
 
-/// A load of weights that waits.
+/// A queued load of weights.
 #[derive(Debug)]
 pub(super) struct LoadJob {
-    /// The model.
+    /// Model to load.
     model: ModelId,
-    /// The version.
+    /// Weight version to load.
     version: WeightVersion,
 }
 
 impl Engine {
-    pub(super) fn take_order(&self, order: Order) -> OrderReply {
+    /// Records an order and checks its fencing token. An accepted order sets the role or queues a load of
+    /// weights.
+    pub(super) fn handle_order(&self, order: Order) -> OrderReply {
         let mut state = self.lock();
         let accepted = !self.config().checks_epochs || order.epoch >= state.epoch;
         state.epoch = state.epoch.max(order.epoch);
         let epoch = state.epoch;
-        state.record.orders.push(OrderRun {
+        state.record.orders.push(ReceivedOrder {
             order: order.clone(),
             accepted,
             at_micros: unix_micros(),
@@ -34,30 +36,30 @@
         }
         drop(state);
         if accepted && let OrderKind::LoadVersion { model, version } = order.kind {
-            let _ = self.loads.try_send(LoadJob { model, version });
+            let _ = self.load_tx.try_send(LoadJob { model, version });
         }
         OrderReply { accepted, epoch }
     }
 
-    /// Loads weights as ordered, one version after another.
+    /// Runs the queued loads of weights one after another.
     pub(super) async fn load_weights(&self) {
-        while let Ok(job) = self.queued_loads.recv().await {
+        while let Ok(job) = self.load_rx.recv().await {
             if self.lock().versions.get(&job.model) == Some(&job.version) {
                 continue;
             }
             self.fetch_weights(&job).await;
             let now = self.now();
             let mut state = self.lock();
-            if let Some(old) = state.versions.insert(job.model, job.version) {
-                state.cache.drop_version(now, old);
+            if let Some(replaced) = state.versions.insert(job.model, job.version) {
+                state.cache.drop_version(now, replaced);
             }
         }
     }
 
     async fn fetch_weights(&self, job: &LoadJob) {
-        let slow = Duration::from_millis(self.lock().faults.slow_load_ms);
-        if !slow.is_zero() {
-            smol::Timer::after(slow).await;
+        let delay = Duration::from_millis(self.lock().faults.slow_load_ms);
+        if !delay.is_zero() {
+            smol::Timer::after(delay).await;
         }
         let Some(platform) = self.config().weights else {
             smol::Timer::after(self.config().load_time).await;
@@ -68,7 +70,7 @@
             .header("host", platform.to_string())
             .body(empty_body());
         if let Ok(req) = req {
-            // Without the platform the engine takes its own copy after the usual time.
+            // If the platform is unavailable, the engine falls back to a local copy, which takes `load_time`.
             if self.client.send(platform, req).await.is_err() {
                 smol::Timer::after(self.config().load_time).await;
             }
--- a/components/standins/src/engine/record.rs
+++ b/components/standins/src/engine/record.rs
@@ -4,29 +4,29 @@
 use targets::{Order, PieceId};
 use utils::{Attempt, ModelId, RequestId, WeightVersion, WorkspaceId};
 
-/// What an engine did.
+/// Record of what an engine did.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct EngineRecord {
-    /// Drafts that started, also resumed ones, in order.
+    /// Drafts whose prompt began to be processed, in order.
     pub drafts: Vec<DraftRun>,
-    /// Cache pieces that drafts used, in order.
+    /// Uses of cache pieces by drafts, in order.
     pub uses: Vec<PieceUse>,
-    /// Imports that ended, in order.
+    /// Imports whose content was read, accepted or not, in order.
     pub imports: Vec<ImportRun>,
-    /// Orders that came, in order.
-    pub orders: Vec<OrderRun>,
-    /// Crashes, in microseconds since the Unix epoch.
+    /// Received orders, accepted or not, in order.
+    pub orders: Vec<ReceivedOrder>,
+    /// Times of crashes, in microseconds since the Unix epoch.
     pub crashes: Vec<u64>,
 }
 
-/// A draft whose prompt an engine began to process.
+/// A draft whose prompt the engine began to process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct DraftRun {
     /// Identifier of the request.
     pub request_id: RequestId,
-    /// Number of the try.
+    /// Number of the attempt.
     pub attempt: Attempt,
     /// Workspace of the prompt.
     pub workspace: WorkspaceId,
@@ -36,17 +36,17 @@
     pub weight_version: WeightVersion,
     /// BLAKE3 hash of the prompt.
     pub prompt: utils::Digest,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Tokens of the prompt that came from cache.
+    /// Number of prompt tokens that were read from cache.
     pub cached_tokens: u32,
-    /// Tokens of the answer that came before.
+    /// Number of answer tokens that the request already had.
     pub offset: u32,
-    /// When the request came, in microseconds since the Unix epoch.
+    /// When the request was received, in microseconds since the Unix epoch.
     pub at_micros: u64,
 }
 
-/// A cache piece that a draft used instead of computing it.
+/// Use of a cache piece by a draft that would else have computed it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct PieceUse {
@@ -62,36 +62,36 @@
     pub weight_version: WeightVersion,
     /// Weight version that computed it.
     pub from_version: WeightVersion,
-    /// Whether the block was whole and not freed.
+    /// Whether the content of the piece was correct.
     pub intact: bool,
 }
 
-/// An import of a piece.
+/// An import of a cache piece from a store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ImportRun {
     /// The piece.
     pub piece: PieceId,
-    /// Weight version that was asked for.
+    /// Requested weight version.
     pub weight_version: WeightVersion,
-    /// Whether the engine took the piece.
+    /// Whether the engine accepted the piece.
     pub accepted: bool,
-    /// Whether the content was what that version computes.
+    /// Whether the content was what the requested version computes.
     pub intact: bool,
-    /// Store that it was read from.
+    /// Address of the store that it was read from.
     pub store: SocketAddr,
-    /// Bytes that were read.
+    /// Number of bytes read.
     pub bytes: u64,
 }
 
-/// An order that came.
+/// An order that the engine received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct OrderRun {
+pub struct ReceivedOrder {
     /// The order.
     pub order: Order,
-    /// Whether the engine obeys it.
+    /// Whether the engine accepted it.
     pub accepted: bool,
-    /// When it came, in microseconds since the Unix epoch.
+    /// When it was received, in microseconds since the Unix epoch.
     pub at_micros: u64,
 }
--- a/components/standins/src/engine/server.rs
+++ b/components/standins/src/engine/server.rs
@@ -14,92 +14,92 @@
 use targets::{DraftRequest, LoadReport};
 use utils::{Epoch, ModelId, Monotonic, RequestId, WeightVersion};
 
-use super::batch::{Batch, NotHeld, Schedule};
+use super::batch::{Batch, DraftNotFound, Schedule};
 use super::cache::Cache;
 use super::config::{EngineConfig, EngineFaults};
-use super::draft::{DraftEvents, DraftHits};
+use super::draft::{DraftEvents, DraftFaults};
 use super::orders::LoadJob;
 use super::record::EngineRecord;
-use crate::reply::{body_json, handled, json, never, segments, status};
-use crate::running::{Control, Running, StandIn, Strike, control_channel, start, unix_micros};
+use crate::reply::{body_json, handler_future, json, never, segments, status};
+use crate::running::{FaultSender, ProcessFault, Running, StandIn, fault_channel, start, unix_micros};
 
 /// Stand-in for a model engine.
 pub struct Engine {
     /// Settings.
     cfg: EngineConfig,
-    /// What changes.
+    /// Mutable state.
     state: Mutex<State>,
-    /// Start of the time.
+    /// Origin of the monotonic clock.
     started: Instant,
-    /// Wakes the batch after a change.
-    kick: async_channel::Sender<()>,
-    /// Ends in the batch's loop.
-    kicked: async_channel::Receiver<()>,
-    /// Queues loads of weights.
-    pub(super) loads: async_channel::Sender<LoadJob>,
-    /// Ends in the loader's loop.
-    pub(super) queued_loads: async_channel::Receiver<LoadJob>,
-    /// Reaches the connections.
-    control: Control,
-    /// Reaches stores and the platform.
+    /// Wakes the loop of the batch after a change.
+    wake_tx: async_channel::Sender<()>,
+    /// Received by the loop of the batch.
+    wake_rx: async_channel::Receiver<()>,
+    /// Queue of weight loads.
+    pub(super) load_tx: async_channel::Sender<LoadJob>,
+    /// Received by the loop that loads weights.
+    pub(super) load_rx: async_channel::Receiver<LoadJob>,
+    /// Injects faults into the connections.
+    fault_tx: FaultSender,
+    /// HTTP client for stores and the platform.
     pub(super) client: Client,
 }
 
-/// What changes in an engine.
+/// Mutable state of an engine.
 pub(super) struct State {
-    /// Drafts.
+    /// Waiting, running and finished drafts.
     pub(super) batch: Batch,
-    /// Pieces in memory.
+    /// Cache pieces in memory.
     pub(super) cache: Cache,
-    /// What it did.
+    /// Record of what the engine did.
     pub(super) record: EngineRecord,
     /// Fault switches.
     pub(super) faults: EngineFaults,
-    /// Decides about faults.
+    /// Decides which calls a fault affects.
     pub(super) rng: ChaCha8Rng,
-    /// Weight version of each model.
+    /// Loaded weight version of each model.
     pub(super) versions: BTreeMap<ModelId, WeightVersion>,
-    /// Role that it was told to take.
+    /// Role set by the last accepted order that sets one; `both` at the start.
     pub(super) role: String,
-    /// Highest fencing number seen.
+    /// Highest fencing token seen.
     pub(super) epoch: Epoch,
-    /// The load report that readers see, and when it was taken.
-    sample: Option<(Monotonic, LoadReport)>,
+    /// Cached load report and when it was made.
+    cached_report: Option<(Monotonic, LoadReport)>,
 }
 
 impl Engine {
-    /// Starts an engine that listens on `addr`; port 0 takes a free one.
+    /// Starts an engine that listens on `addr`; port 0 chooses a free port.
     ///
     /// # Errors
-    /// [`HttpError::Listen`] if the address can not be had.
+    /// [`HttpError::Listen`] if the address can not be bound.
     pub fn start(
         ex: &Executor,
         addr: SocketAddr,
         cfg: EngineConfig,
     ) -> Result<Running<Self>, Report<HttpError>> {
-        let channel = control_channel();
-        let (kick, kicked) = async_channel::bounded(1);
-        let (loads, queued_loads) = async_channel::unbounded();
+        let channel = fault_channel();
+        let (wake_tx, wake_rx) = async_channel::bounded(1);
+        let (load_tx, load_rx) = async_channel::unbounded();
         let engine = Arc::new(Self {
             state: Mutex::new(State::new(&cfg)),
             cfg,
             started: Instant::now(),
-            kick,
-            kicked,
-            loads,
-            queued_loads,
-            control: channel.0.clone(),
+            wake_tx,
+            wake_rx,
+            load_tx,
+            load_rx,
+            fault_tx: channel.0.clone(),
             client: Client::new(ex.clone(), ClientConfig::default()),
         });
         start(ex, addr, engine, channel)
     }
 
-    /// The settings.
+    /// Returns the settings.
     pub fn config(&self) -> &EngineConfig {
         &self.cfg
     }
 
-    /// What the engine did so far.
+    /// Returns a copy of the record of what the engine did so far.
     pub fn record(&self) -> EngineRecord {
         self.lock().record.clone()
     }
@@ -135,7 +135,7 @@
             (Method::GET, ["v1", "cache"]) => Ok(json(&self.lock().cache.snapshot())),
             (Method::POST, ["v1", "cache", "import"]) => self.import(body_json(req).await?).await,
             (Method::POST, ["v1", "cache", "export"]) => self.export(body_json(req).await?).await,
-            (Method::POST, ["v1", "orders"]) => Ok(json(&self.take_order(body_json(req).await?))),
+            (Method::POST, ["v1", "orders"]) => Ok(json(&self.handle_order(body_json(req).await?))),
             (Method::GET, ["v1", "record"]) => Ok(json(&self.lock().record)),
             (Method::GET, ["v1", "faults"]) => Ok(json(&self.lock().faults)),
             (Method::PUT, ["v1", "faults"]) => {
@@ -143,48 +143,49 @@
                 self.set_faults(faults);
                 Ok(status(StatusCode::NO_CONTENT))
             }
-            (Method::POST, ["v1", "crash"]) => Ok(self.strike(Strike::Crash)),
-            (Method::POST, ["v1", "silence"]) => Ok(self.strike(Strike::Silence)),
+            (Method::POST, ["v1", "crash"]) => Ok(self.inject(ProcessFault::Crash)),
+            (Method::POST, ["v1", "silence"]) => Ok(self.inject(ProcessFault::Silence)),
             _ => Err(StatusCode::NOT_FOUND),
         }
     }
 
-    fn strike(&self, strike: Strike) -> Response<Body> {
-        let _ = self.control.try_send(strike);
+    fn inject(&self, fault: ProcessFault) -> Response<Body> {
+        let _ = self.fault_tx.try_send(fault);
         status(StatusCode::NO_CONTENT)
     }
 
     async fn draft(self: Arc<Self>, req: DraftRequest) -> Result<Response<Body>, StatusCode> {
-        if self.lock().faults.kills(&req.prompt) {
-            self.strike(Strike::Crash);
+        if self.lock().faults.crashes_on(&req.prompt) {
+            self.inject(ProcessFault::Crash);
             return never().await;
         }
         let (tx, rx) = async_channel::bounded(1);
-        let hits = self.submit(&req, tx)?;
-        let _ = self.kick.try_send(());
-        let events = DraftEvents::new(self, req, rx, hits);
+        let faults = self.submit(&req, tx)?;
+        let _ = self.wake_tx.try_send(());
+        let events = DraftEvents::new(self, req, rx, faults);
         Response::builder()
             .header("content-type", "text/event-stream")
             .body(events.into_body())
             .map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)
     }
 
-    /// Puts a draft into the batch, if its weight version is loaded.
+    /// Adds a draft to the batch if its weight version is loaded or it resumes an existing draft. Returns the
+    /// faults that are injected into its stream.
     fn submit(
         &self,
         req: &DraftRequest,
-        notice: async_channel::Sender<Schedule>,
-    ) -> Result<DraftHits, StatusCode> {
+        schedule_tx: async_channel::Sender<Schedule>,
+    ) -> Result<DraftFaults, StatusCode> {
         let now = self.now();
         let mut state = self.lock();
         let loaded = state.versions.get(&req.model) == Some(&req.weight_version);
-        if !loaded && !state.batch.holds(req) {
+        if !loaded && !state.batch.can_resume(req) {
             return Err(StatusCode::GONE);
         }
-        let submitted = state.batch.submit(req.clone(), notice);
-        submitted.map_err(|NotHeld| StatusCode::NOT_FOUND)?;
+        let submitted = state.batch.submit(req.clone(), schedule_tx);
+        submitted.map_err(|DraftNotFound| StatusCode::NOT_FOUND)?;
         state.advance(now, &self.cfg);
-        Ok(state.hits())
+        Ok(state.draw_faults())
     }
 
     fn cancel(&self, id: &str) -> Result<Response<Body>, StatusCode> {
@@ -193,7 +194,7 @@
         let State { batch, cache, .. } = &mut *state;
         batch.cancel(id, cache);
         drop(state);
-        let _ = self.kick.try_send(());
+        let _ = self.wake_tx.try_send(());
         Ok(json(&()))
     }
 
@@ -202,11 +203,11 @@
         let mut state = self.lock();
         state.advance(now, &self.cfg);
         let is_fresh = |(at, _): &(Monotonic, LoadReport)| now - *at < self.cfg.load_lag;
-        let (at, mut report) = match state.sample.take_if(|sample| is_fresh(sample)) {
-            Some(sample) => sample,
+        let (at, mut report) = match state.cached_report.take_if(|report| is_fresh(report)) {
+            Some(fresh) => fresh,
             None => (now, state.report(&self.cfg)),
         };
-        state.sample = Some((at, report.clone()));
+        state.cached_report = Some((at, report.clone()));
         report.age = now - at;
         report
     }
@@ -217,13 +218,13 @@
         let mut state = self.lock();
         state.advance(now, &self.cfg);
         let lag = self.cfg.event_lag + Duration::from_millis(state.faults.event_lag_ms);
-        // Nothing is old enough before the first lag has passed.
+        // Until the first lag has passed no event is visible.
         let Some(until) = now.checked_sub(lag) else {
             return Ok(json(&state.cache.events(from, Monotonic::ZERO)));
         };
         let mut events = state.cache.events(from, until);
         let State { faults, rng, .. } = &mut *state;
-        if !events.events.is_empty() && faults.event_gaps.hits(rng) {
+        if !events.events.is_empty() && faults.event_gaps.applies(rng) {
             let lost = events.events.len().div_ceil(2);
             events.events.drain(..lost);
             events.first += lost as u64;
@@ -231,19 +232,19 @@
         Ok(json(&events))
     }
 
-    /// Moves the batch on as time passes.
-    async fn drive(&self) {
+    /// Advances the batch at the time of its next change and after each wake-up.
+    async fn run_batch(&self) {
         loop {
             let next = {
                 let now = self.now();
                 self.lock().advance(now, &self.cfg)
             };
-            let kicked = async {
-                let _ = self.kicked.recv().await;
+            let woken = async {
+                let _ = self.wake_rx.recv().await;
             };
             match next {
-                Some(at) => kicked.or(self.sleep_until(at)).await,
-                None => kicked.await,
+                Some(at) => woken.or(self.sleep_until(at)).await,
+                None => woken.await,
             }
         }
     }
@@ -260,7 +261,7 @@
             versions: cfg.models.iter().cloned().collect(),
             role: "both".to_owned(),
             epoch: 0,
-            sample: None,
+            cached_report: None,
         }
     }
 
@@ -268,19 +269,19 @@
         self.batch.advance(now, cfg, &mut self.cache, &mut self.record)
     }
 
-    fn hits(&mut self) -> DraftHits {
+    fn draw_faults(&mut self) -> DraftFaults {
         let Self { faults, rng, .. } = self;
-        let delay = if faults.late.hits(rng) {
+        let delay = if faults.late.applies(rng) {
             Duration::from_millis(faults.late_ms)
         } else {
             Duration::ZERO
         };
-        DraftHits {
+        DraftFaults {
             delay,
-            cross: faults.cross_answers.hits(rng),
-            cut_short: faults.cut_short.hits(rng),
-            wrong_count: faults.wrong_count.hits(rng),
-            duplicate: faults.duplicate_events.hits(rng),
+            wrong_request_id: faults.cross_answers.applies(rng),
+            cut_short: faults.cut_short.applies(rng),
+            wrong_count: faults.wrong_count.applies(rng),
+            duplicate: faults.duplicate_events.applies(rng),
         }
     }
 
@@ -303,7 +304,7 @@
 }
 
 impl EngineFaults {
-    fn kills(&self, prompt: &str) -> bool {
+    fn crashes_on(&self, prompt: &str) -> bool {
         let marker = self.crash_marker.as_deref();
         marker.is_some_and(|marker| prompt.contains(marker))
     }
@@ -311,18 +312,18 @@
 
 impl StandIn for Engine {
     fn handle(self: Arc<Self>, req: Request<Incoming>) -> HandlerFuture {
-        handled(self.route(req))
+        handler_future(self.route(req))
     }
 
     fn crash(&self) {
         let mut state = self.lock();
         state.batch = Batch::new();
         state.cache = Cache::new(self.cfg.cache_pieces, unix_micros());
-        state.sample = None;
+        state.cached_report = None;
         state.record.crashes.push(unix_micros());
     }
 
     async fn background(self: Arc<Self>) {
-        zip(self.drive(), self.load_weights()).await;
+        zip(self.run_batch(), self.load_weights()).await;
     }
 }
--- a/components/standins/src/engine/transfer.rs
+++ b/components/standins/src/engine/transfer.rs
@@ -10,16 +10,17 @@
 use crate::reply::json;
 
 impl Engine {
-    /// Reads a piece from a store and checks it.
+    /// Reads a piece from a store and verifies it against its manifest and the requested weight version. A
+    /// valid piece is cached, an invalid one is refused unless `skip_import_check` is on.
     pub(super) async fn import(&self, req: TransferRequest) -> Result<Response<Body>, StatusCode> {
         if !self.has_version(req.weight_version) {
             return Err(StatusCode::GONE);
         }
         let (manifest, content) = self.fetch(&req).await?;
-        let whole = is_whole(&manifest, &content) && manifest.weight_version == req.weight_version;
-        let accepted = whole || self.lock().faults.skip_import_check;
+        let valid = matches_manifest(&manifest, &content) && manifest.weight_version == req.weight_version;
+        let accepted = valid || self.lock().faults.skip_import_check;
         let expected = expected_content(req.piece, req.weight_version, content.len());
-        let intact = whole && content == expected;
+        let intact = valid && content == expected;
         let now = self.now();
         let mut state = self.lock();
         state.record.imports.push(ImportRun {
@@ -49,11 +50,11 @@
         Ok((manifest, content.ok_or(missing)?))
     }
 
-    /// Writes a piece to a store, content first.
+    /// Writes a piece to a store: first the content, then the manifest.
     pub(super) async fn export(&self, req: TransferRequest) -> Result<Response<Body>, StatusCode> {
-        let held = self.lock().cache.get(&req.piece).cloned();
-        let held = held.filter(|block| block.weight_version == req.weight_version && block.intact);
-        if held.is_none() {
+        let block = self.lock().cache.get(&req.piece).cloned();
+        let block = block.filter(|block| block.weight_version == req.weight_version && block.intact);
+        if block.is_none() {
             return Err(StatusCode::NOT_FOUND);
         }
         let bytes = self.config().piece_bytes as usize;
@@ -77,7 +78,7 @@
     }
 }
 
-fn is_whole(manifest: &Manifest, content: &Bytes) -> bool {
+fn matches_manifest(manifest: &Manifest, content: &Bytes) -> bool {
     manifest.bytes == content.len() as u64 && manifest.content == utils::digest(content)
 }
 
--- a/components/standins/src/lib.rs
+++ b/components/standins/src/lib.rs
@@ -1,7 +1,9 @@
-//! Small stand-ins for the platform, model engines, plain services and store hosts, over loopback.
+//! Stand-ins for the platform, model engines, plain services and store hosts: small fakes that listen on
+//! loopback.
 //!
-//! Each speaks the protocol of the clients in `platform` and `targets`, records what it did, and has fault
-//! switches that are off until `PUT /v1/faults` or a handle sets them.
+//! Each stand-in implements the server side of the protocol that the clients in `metadata` or `targets` use,
+//! records what it did, and has fault switches. All faults are off until `PUT /v1/faults` or `set_faults`
+//! turns them on.
 
 mod answer;
 mod connection;
@@ -15,7 +17,9 @@
 mod time_text;
 
 pub use answer::{Answer, expected_content, expected_token};
-pub use engine::{DraftRun, Engine, EngineConfig, EngineFaults, EngineRecord, ImportRun, OrderRun, PieceUse};
+pub use engine::{
+    DraftRun, Engine, EngineConfig, EngineFaults, EngineRecord, ImportRun, PieceUse, ReceivedOrder,
+};
 pub use odds::Odds;
 pub use platform::{Platform, PlatformConfig, PlatformCounters, PlatformFaults};
 pub use running::{Running, unix_micros};
--- a/components/standins/src/odds.rs
+++ b/components/standins/src/odds.rs
@@ -2,7 +2,7 @@
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 
-/// How often a fault happens.
+/// How often a fault is injected: into the next calls for certain, and into a share of the later ones.
 ///
 /// ```
 /// let odds: standins::Odds = serde_json::from_str(r#"{"next": 2}"#)?;
@@ -13,14 +13,14 @@
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Odds {
-    /// For this many of the next calls, for certain.
+    /// Number of next calls that the fault certainly affects.
     pub next: u32,
-    /// For this share of the calls after those, 0 to 1.
+    /// Share of the calls after those that the fault affects at random, from 0 to 1.
     pub share: f64,
 }
 
 impl Odds {
-    /// Hits the next calls and none after them.
+    /// Creates odds that affect the next `calls` calls and none after them.
     pub fn next(calls: u32) -> Self {
         Self {
             next: calls,
@@ -28,13 +28,13 @@
         }
     }
 
-    /// Hits a share of all calls.
+    /// Creates odds that affect a random share of all calls.
     pub fn share(share: f64) -> Self {
         Self { next: 0, share }
     }
 
-    /// Whether the fault hits this call.
-    pub(crate) fn hits(&mut self, rng: &mut ChaCha8Rng) -> bool {
+    /// Whether the fault affects this call; a certain call is counted down.
+    pub(crate) fn applies(&mut self, rng: &mut ChaCha8Rng) -> bool {
         if self.next > 0 {
             self.next -= 1;
             return true;
--- a/components/standins/src/platform.rs
+++ b/components/standins/src/platform.rs
@@ -15,33 +15,33 @@
 use serde::{Deserialize, Serialize};
 
 use crate::odds::Odds;
-use crate::reply::{body_bytes, body_json, bytes, handled, json, never, segments, status};
-use crate::running::{Control, Running, StandIn, Strike, control_channel, start};
+use crate::reply::{body_bytes, body_json, bytes, handler_future, json, never, segments, status};
+use crate::running::{FaultSender, ProcessFault, Running, StandIn, fault_channel, start};
 
-/// Seconds of counters that are kept.
-const KEPT_SECONDS: usize = 600;
+/// Maximum number of entries in the history of per-second counters and in the history of host lists.
+const MAX_HISTORY_ENTRIES: usize = 600;
 
 /// Settings of a [`Platform`].
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlatformConfig {
-    /// Time until a change of the list shows.
+    /// Delay until a change of the host list is visible.
     #[serde(with = "crate::time_text")]
     pub list_lag: Duration,
-    /// Time that each call takes.
+    /// Delay of each call.
     #[serde(with = "crate::time_text")]
     pub latency: Duration,
-    /// Writes a second before calls are refused; 0 for no limit.
+    /// Maximum number of transactions and object writes per second; more are refused. 0 for no limit.
     pub writes_per_second: u32,
-    /// Reads a second before calls are refused; 0 for no limit.
+    /// Maximum number of reads and scans per second; more are refused. 0 for no limit.
     pub reads_per_second: u32,
-    /// Time to hand out a model's weights.
+    /// Time to serve the weights of a model.
     #[serde(with = "crate::time_text")]
     pub weights_time: Duration,
-    /// Weights handed out at once before each takes longer.
+    /// Number of concurrent transfers of weights at full speed; more of them slow each other down.
     pub weights_at_once: u32,
-    /// Seed of the faults.
+    /// Seed of the random generator that decides about faults.
     pub seed: u64,
 }
 
@@ -64,31 +64,31 @@
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlatformFaults {
-    /// Calls are never answered and take no effect.
+    /// Calls are never answered and have no effect.
     pub down: bool,
-    /// Added to each call, in milliseconds.
+    /// Additional delay of each call, in milliseconds.
     pub slow_ms: u64,
-    /// The transaction takes effect and its answer is lost.
+    /// The transaction takes effect but is never answered.
     pub lose_answers: Odds,
-    /// Added to the lag of the list, in milliseconds.
+    /// Additional delay of the host list, in milliseconds.
     pub list_lag_ms: u64,
-    /// Calls are refused because of their rate.
+    /// Reads and writes are refused as if they exceeded the rate limit.
     pub refuse: Odds,
 }
 
-/// Calls in one second.
+/// Number of calls in one second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct PlatformCounters {
-    /// Seconds since the start.
+    /// The second, counted from the start of the platform.
     pub second: u64,
-    /// Transactions.
+    /// Number of transactions, including writes of objects.
     pub transactions: u32,
-    /// Rows written by them.
+    /// Number of rows and objects that they wrote.
     pub writes: u32,
-    /// Reads and scans.
+    /// Number of reads and scans, including reads of objects.
     pub reads: u32,
-    /// Calls refused because of their rate.
+    /// Number of calls refused because of a fault or the rate limit.
     pub refused: u32,
 }
 
@@ -98,50 +98,50 @@
     cfg: PlatformConfig,
     /// The table.
     table: MemoryTable,
-    /// Everything else that changes.
+    /// All other mutable state.
     state: Mutex<State>,
-    /// Weights that are handed out now.
-    weights_active: AtomicU32,
-    /// Start of the time.
+    /// Number of transfers of weights in flight.
+    weights_in_flight: AtomicU32,
+    /// Origin of the seconds in the counters.
     started: Instant,
-    /// Reaches the connections.
-    control: Control,
+    /// Injects faults into the connections.
+    fault_tx: FaultSender,
 }
 
 struct State {
     /// Objects by key.
     objects: HashMap<String, Bytes>,
-    /// The list as it is.
+    /// The current host list, by identifier.
     hosts: BTreeMap<Arc<str>, ListedHost>,
-    /// Earlier lists with the time of their change, oldest first.
+    /// Versions of the host list with the time of their change, oldest first; the last is the current one.
     history: VecDeque<(Instant, Vec<ListedHost>)>,
     /// Fault switches.
     faults: PlatformFaults,
-    /// Decides about faults.
+    /// Decides which calls a fault affects.
     rng: ChaCha8Rng,
-    /// Calls a second, oldest first.
+    /// Counters per second, oldest first.
     counters: VecDeque<PlatformCounters>,
 }
 
-/// What a call counts as.
+/// How a call counts towards the rate limits.
 #[derive(Clone, Copy)]
 enum Cost {
     Read,
     Write(u32),
-    Free,
+    Unlimited,
 }
 
 impl Platform {
-    /// Starts a platform that listens on `addr`; port 0 takes a free one.
+    /// Starts a platform that listens on `addr`; port 0 chooses a free port.
     ///
     /// # Errors
-    /// [`HttpError::Listen`] if the address can not be had.
+    /// [`HttpError::Listen`] if the address can not be bound.
     pub fn start(
         ex: &Executor,
         addr: SocketAddr,
         cfg: PlatformConfig,
     ) -> Result<Running<Self>, Report<HttpError>> {
-        let channel = control_channel();
+        let channel = fault_channel();
         let state = State {
             objects: HashMap::new(),
             hosts: BTreeMap::new(),
@@ -154,30 +154,30 @@
             cfg,
             table: MemoryTable::default(),
             state: Mutex::new(state),
-            weights_active: AtomicU32::new(0),
+            weights_in_flight: AtomicU32::new(0),
             started: Instant::now(),
-            control: channel.0.clone(),
+            fault_tx: channel.0.clone(),
         });
         start(ex, addr, platform, channel)
     }
 
-    /// The table itself, past all faults.
+    /// Returns the table for direct access, which bypasses faults and rate limits.
     pub fn table(&self) -> &MemoryTable {
         &self.table
     }
 
-    /// Lists a host, or changes its entry.
+    /// Adds a host to the list or replaces its entry.
     pub fn set_host(&self, host: ListedHost) {
         let mut state = self.lock();
         state.hosts.insert(host.id.clone(), host);
-        state.remember();
+        state.record_list();
     }
 
-    /// Takes a host off the list.
+    /// Removes a host from the list.
     pub fn remove_host(&self, id: &str) {
         let mut state = self.lock();
         state.hosts.remove(id);
-        state.remember();
+        state.record_list();
     }
 
     /// Sets the fault switches.
@@ -185,7 +185,7 @@
         self.lock().faults = faults;
     }
 
-    /// Calls in each second in which there were any, oldest first.
+    /// Returns the counters of each second that had calls, oldest first.
     pub fn counters(&self) -> Vec<PlatformCounters> {
         self.lock().counters.iter().copied().collect()
     }
@@ -201,22 +201,22 @@
             (Method::POST, ["v1", "table", "transact"]) => self.transact(body_json(req).await?).await,
             (Method::POST, ["v1", "table", "read"]) => {
                 let read: ReadRequest = body_json(req).await?;
-                self.pass(Cost::Read).await?;
+                self.admit(Cost::Read).await?;
                 let rows: Vec<_> = read.keys.iter().map(|key| self.table.get(key)).collect();
                 Ok(json(&rows))
             }
             (Method::POST, ["v1", "table", "scan"]) => {
                 let scan: ScanRequest = body_json(req).await?;
-                self.pass(Cost::Read).await?;
+                self.admit(Cost::Read).await?;
                 Ok(json(&self.table.range(&scan)))
             }
             (Method::GET, ["v1", "list"]) => {
-                self.pass(Cost::Free).await?;
+                self.admit(Cost::Unlimited).await?;
                 Ok(json(&self.list().await))
             }
             (Method::GET, ["v1", "weights", _, _]) => {
-                self.pass(Cost::Free).await?;
-                self.hand_out_weights().await;
+                self.admit(Cost::Unlimited).await?;
+                self.serve_weights().await;
                 Ok(status(StatusCode::OK))
             }
             (_, ["v1", "objects", key @ ..]) => {
@@ -225,13 +225,13 @@
             }
             (_, rest) => {
                 let rest: Vec<String> = rest.iter().map(|s| (*s).to_owned()).collect();
-                self.operate(req, rest).await
+                self.handle_admin(req, rest).await
             }
         }
     }
 
     async fn transact(&self, tx: Transaction) -> Result<Response<Body>, StatusCode> {
-        self.pass(Cost::Write(tx.writes.len() as u32)).await?;
+        self.admit(Cost::Write(tx.writes.len() as u32)).await?;
         let committed: Committed = self.table.apply(&tx);
         if self.lock().loses_answer() {
             return never().await;
@@ -244,12 +244,12 @@
         let content = body_bytes(req).await?;
         match method {
             Method::PUT => {
-                self.pass(Cost::Write(1)).await?;
+                self.admit(Cost::Write(1)).await?;
                 self.lock().objects.insert(key, content);
                 Ok(status(StatusCode::NO_CONTENT))
             }
             Method::GET => {
-                self.pass(Cost::Read).await?;
+                self.admit(Cost::Read).await?;
                 let found = self.lock().objects.get(&key).cloned();
                 Ok(found.map_or_else(|| status(StatusCode::NOT_FOUND), bytes))
             }
@@ -257,8 +257,8 @@
         }
     }
 
-    /// What operators and tests use; faults do not hit it.
-    async fn operate(
+    /// Handles the calls of operators and tests, which faults and rate limits do not affect.
+    async fn handle_admin(
         &self,
         req: Request<Incoming>,
         parts: Vec<String>,
@@ -269,13 +269,13 @@
                 let host: ListedHost = body_json(req).await?;
                 let mut state = self.lock();
                 state.hosts.insert(host.id.clone(), host);
-                state.remember();
+                state.record_list();
                 Ok(status(StatusCode::NO_CONTENT))
             }
             (Method::DELETE, ["v1", "list", id]) => {
                 let mut state = self.lock();
                 state.hosts.remove(*id);
-                state.remember();
+                state.record_list();
                 Ok(status(StatusCode::NO_CONTENT))
             }
             (Method::GET, ["v1", "counters"]) => Ok(json(&self.lock().counters)),
@@ -286,19 +286,20 @@
                 Ok(status(StatusCode::NO_CONTENT))
             }
             (Method::POST, ["v1", "silence"]) => {
-                let _ = self.control.try_send(Strike::Silence);
+                let _ = self.fault_tx.try_send(ProcessFault::Silence);
                 Ok(status(StatusCode::NO_CONTENT))
             }
             _ => Err(StatusCode::NOT_FOUND),
         }
     }
 
-    /// Lets a call through, after its latency, unless a fault or the rate limit stops it.
-    async fn pass(&self, cost: Cost) -> Result<(), StatusCode> {
+    /// Delays a call by its latency and refuses it if a fault or the rate limit requires that. Never
+    /// completes while the platform is down.
+    async fn admit(&self, cost: Cost) -> Result<(), StatusCode> {
         let (down, slow, refused) = {
             let second = self.started.elapsed().as_secs();
             let mut state = self.lock();
-            let refused = state.count(&self.cfg, second, cost);
+            let refused = state.count_call(&self.cfg, second, cost);
             let slow = Duration::from_millis(state.faults.slow_ms);
             (state.faults.down, slow, refused)
         };
@@ -321,37 +322,37 @@
         state.list_as_of(lag)
     }
 
-    async fn hand_out_weights(&self) {
-        let active = self.weights_active.fetch_add(1, Ordering::SeqCst) + 1;
-        let crowding = active.div_ceil(self.cfg.weights_at_once.max(1));
-        smol::Timer::after(self.cfg.weights_time * crowding).await;
-        self.weights_active.fetch_sub(1, Ordering::SeqCst);
+    async fn serve_weights(&self) {
+        let active = self.weights_in_flight.fetch_add(1, Ordering::SeqCst) + 1;
+        let slowdown = active.div_ceil(self.cfg.weights_at_once.max(1));
+        smol::Timer::after(self.cfg.weights_time * slowdown).await;
+        self.weights_in_flight.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
 impl State {
-    fn remember(&mut self) {
+    fn record_list(&mut self) {
         let list = self.hosts.values().cloned().collect();
         self.history.push_back((Instant::now(), list));
-        if self.history.len() > KEPT_SECONDS {
+        if self.history.len() > MAX_HISTORY_ENTRIES {
             self.history.pop_front();
         }
     }
 
     fn list_as_of(&self, lag: Duration) -> Vec<ListedHost> {
-        let old_enough = |(at, _): &&(Instant, Vec<ListedHost>)| at.elapsed() >= lag;
-        let found = self.history.iter().rev().find(old_enough);
+        let is_visible = |(at, _): &&(Instant, Vec<ListedHost>)| at.elapsed() >= lag;
+        let found = self.history.iter().rev().find(is_visible);
         found.map(|(_, list)| list.clone()).unwrap_or_default()
     }
 
     fn loses_answer(&mut self) -> bool {
         let Self { faults, rng, .. } = self;
-        faults.lose_answers.hits(rng)
+        faults.lose_answers.applies(rng)
     }
 
-    /// Counts a call; true if it is refused.
-    fn count(&mut self, cfg: &PlatformConfig, second: u64, cost: Cost) -> bool {
-        if matches!(cost, Cost::Free) {
+    /// Counts a call; returns whether it is refused.
+    fn count_call(&mut self, cfg: &PlatformConfig, second: u64, cost: Cost) -> bool {
+        if matches!(cost, Cost::Unlimited) {
             return false;
         }
         if self.counters.back().is_none_or(|c| c.second != second) {
@@ -361,18 +362,18 @@
             };
             self.counters.push_back(counters);
         }
-        if self.counters.len() > KEPT_SECONDS {
+        if self.counters.len() > MAX_HISTORY_ENTRIES {
             self.counters.pop_front();
         }
-        let refused = self.faults.refuse.hits(&mut self.rng);
+        let refused = self.faults.refuse.applies(&mut self.rng);
         let Some(counters) = self.counters.back_mut() else {
             return refused;
         };
-        let over = match cost {
-            Cost::Write(_) => over(counters.transactions, cfg.writes_per_second),
-            Cost::Read | Cost::Free => over(counters.reads, cfg.reads_per_second),
+        let at_limit = match cost {
+            Cost::Write(_) => is_at_limit(counters.transactions, cfg.writes_per_second),
+            Cost::Read | Cost::Unlimited => is_at_limit(counters.reads, cfg.reads_per_second),
         };
-        if refused || over {
+        if refused || at_limit {
             counters.refused += 1;
             return true;
         }
@@ -381,19 +382,19 @@
                 counters.transactions += 1;
                 counters.writes += rows;
             }
-            Cost::Read | Cost::Free => counters.reads += 1,
+            Cost::Read | Cost::Unlimited => counters.reads += 1,
         }
         false
     }
 }
 
-fn over(used: u32, limit: u32) -> bool {
+fn is_at_limit(used: u32, limit: u32) -> bool {
     limit > 0 && used >= limit
 }
 
 impl StandIn for Platform {
     fn handle(self: Arc<Self>, req: Request<Incoming>) -> HandlerFuture {
-        handled(self.route(req))
+        handler_future(self.route(req))
     }
 
     fn crash(&self) {}
--- a/components/standins/src/running.rs
+++ b/components/standins/src/running.rs
@@ -12,106 +12,108 @@
 use smol::Task;
 use smol::net::TcpStream;
 
-use crate::connection::{ConnectionNumber, Gate};
+use crate::connection::{ConnectionNumber, ConnectionRegistry};
 
-/// Longest wait for open requests when a stand-in stops; later ones are cut.
-const STOP_PATIENCE: Duration = Duration::from_secs(5);
+/// Time that open requests have to finish when a stand-in stops; the rest are aborted.
+const STOP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Sends a stand-in's process a fault that hits all connections.
-pub(crate) type Control = async_channel::Sender<Strike>;
+/// Injects faults into the simulated process of a stand-in.
+pub(crate) type FaultSender = async_channel::Sender<ProcessFault>;
 
-/// A fault that hits all connections of a stand-in.
+/// A fault that affects all open connections of a stand-in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Strike {
-    /// The process dies and starts again: every connection closes.
+pub(crate) enum ProcessFault {
+    /// The process crashes and restarts: every connection closes and the state in memory is lost.
     Crash,
-    /// Open connections go silent for good; new ones work.
+    /// Open connections become silent until they close; new connections work.
     Silence,
 }
 
-/// What a stand-in does behind its listener.
+/// Request handling and crash behaviour of a kind of stand-in.
 pub(crate) trait StandIn: Send + Sync + 'static {
-    /// Answers a request.
+    /// Handles a request.
     fn handle(self: Arc<Self>, req: Request<Incoming>) -> HandlerFuture;
 
-    /// Loses what a process loses when it dies.
+    /// Drops the state that a process loses when it crashes.
     fn crash(&self);
 
-    /// Work beside the requests, for as long as the stand-in runs.
+    /// Runs work that is not part of a request, for as long as the stand-in runs.
     fn background(self: Arc<Self>) -> impl Future<Output = ()> + Send {
         std::future::pending()
     }
 }
 
-/// A stand-in that listens.
+/// Handle of a stand-in that is listening.
 pub struct Running<T> {
-    /// Where it listens.
+    /// Address that it listens on.
     addr: SocketAddr,
     /// The stand-in.
     state: Arc<T>,
-    /// Its connections.
-    gate: Arc<Gate>,
-    /// Reaches its connections.
-    control: Control,
-    /// Dropped to stop.
+    /// Numbers its connections and records which of them are silent.
+    registry: Arc<ConnectionRegistry>,
+    /// Injects faults into the accept loop.
+    fault_tx: FaultSender,
+    /// Dropped to start the shutdown.
     stop: async_channel::Sender<()>,
-    /// The accept loop.
+    /// Task of the accept loop.
     task: Task<()>,
 }
 
 impl<T> Running<T> {
-    /// Where the stand-in listens.
+    /// Returns the address that the stand-in listens on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// The stand-in, for its record and its faults.
+    /// Returns the stand-in, which gives access to its record and its fault switches.
     pub fn state(&self) -> &Arc<T> {
         &self.state
     }
 
-    /// Connections that were ever opened to the stand-in.
+    /// Returns the number of connections that the stand-in has accepted since its start.
     pub fn connections(&self) -> u64 {
-        self.gate.opened()
+        self.registry.opened_count()
     }
 
-    /// Crashes the process now: every connection closes, what is in memory is lost, and it starts again.
+    /// Simulates a crash and restart of the process: every connection closes and the state in memory is lost.
     pub fn crash(&self) {
-        let _ = self.control.try_send(Strike::Crash);
+        let _ = self.fault_tx.try_send(ProcessFault::Crash);
     }
 
-    /// Makes the open connections silent for good; new ones work.
+    /// Makes the open connections silent until they close: nothing more is read or answered on them. New
+    /// connections work.
     pub fn silence(&self) {
-        let _ = self.control.try_send(Strike::Silence);
+        let _ = self.fault_tx.try_send(ProcessFault::Silence);
     }
 
-    /// Finishes open requests, closes the listener and joins all connections.
+    /// Closes the listener, then waits until all open requests have finished, or for 5 seconds.
     pub async fn stop(self) {
         drop(self.stop);
         self.task.await;
     }
 
-    /// Closes the listener and every connection at once, as if the host had lost power.
+    /// Closes the listener and every connection immediately, like a power failure of the host.
     pub async fn kill(self) {
         self.task.cancel().await;
     }
 
-    /// Serves until the task ends, which is when `until` resolves.
-    pub async fn run_until(self, until: impl Future<Output = ()>) {
-        until.await;
+    /// Serves until `shutdown` resolves, then stops.
+    pub async fn run_until(self, shutdown: impl Future<Output = ()>) {
+        shutdown.await;
         self.stop().await;
     }
 }
 
-/// Microseconds since the Unix epoch, for records that are compared between stand-ins.
+/// Returns the current time in microseconds since the Unix epoch. Records use it because it is comparable
+/// between stand-ins.
 pub fn unix_micros() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |d| d.as_micros() as u64)
 }
 
-/// Where the control channel of a stand-in ends.
-pub(crate) fn control_channel() -> (Control, async_channel::Receiver<Strike>) {
+/// Creates the channel that carries injected faults to the accept loop.
+pub(crate) fn fault_channel() -> (FaultSender, async_channel::Receiver<ProcessFault>) {
     async_channel::bounded(16)
 }
 
@@ -119,19 +121,19 @@
     ex: &Executor,
     addr: SocketAddr,
     state: Arc<T>,
-    (control, strikes): (Control, async_channel::Receiver<Strike>),
+    (fault_tx, fault_rx): (FaultSender, async_channel::Receiver<ProcessFault>),
 ) -> Result<Running<T>, Report<HttpError>> {
     let server = Server::bind(addr, ServerConfig::default())?;
     let addr = server.local_addr().change_context(HttpError::Listen)?;
-    let (stop, stopped) = http_io::shutdown_channel();
-    let gate = Arc::<Gate>::default();
-    let listening = Listening {
+    let (stop, shutdown) = http_io::shutdown_channel();
+    let registry = Arc::<ConnectionRegistry>::default();
+    let accept_loop = AcceptLoop {
         ex: ex.clone(),
         server,
         state: state.clone(),
-        gate: gate.clone(),
+        registry: registry.clone(),
         connections: Vec::new(),
-        stopped,
+        shutdown,
     };
     let work = state.clone().background();
     let task = ex.spawn(async move {
@@ -139,76 +141,76 @@
             work.await;
             std::future::pending().await
         };
-        listening.run(strikes).or(background).await;
+        accept_loop.run(fault_rx).or(background).await;
     });
     Ok(Running {
         addr,
         state,
-        gate,
-        control,
+        registry,
+        fault_tx,
         stop,
         task,
     })
 }
 
-/// The accept loop of a stand-in.
-struct Listening<T> {
-    /// Runs the connections.
+/// State of the accept loop of a stand-in.
+struct AcceptLoop<T> {
+    /// Runs the connection tasks.
     ex: Executor,
-    /// Accepts them.
+    /// Accepts connections.
     server: Server,
-    /// Answers their requests.
+    /// Handles the requests.
     state: Arc<T>,
-    /// Makes them silent.
-    gate: Arc<Gate>,
-    /// Open connections; dropping a task closes its socket.
+    /// Numbers the connections and makes them silent.
+    registry: Arc<ConnectionRegistry>,
+    /// Tasks of the open connections; dropping a task closes its socket.
     connections: Vec<(ConnectionNumber, Task<()>)>,
     /// Resolves when the stand-in stops.
-    stopped: Shutdown,
+    shutdown: Shutdown,
 }
 
-/// What the accept loop wakes up for.
-enum Wake {
+/// An event that the accept loop handles.
+enum LoopEvent {
     Accepted(TcpStream),
-    Struck(Strike),
+    Fault(ProcessFault),
     Stopped,
 }
 
-impl<T: StandIn> Listening<T> {
-    async fn run(mut self, strikes: async_channel::Receiver<Strike>) {
+impl<T: StandIn> AcceptLoop<T> {
+    async fn run(mut self, fault_rx: async_channel::Receiver<ProcessFault>) {
         loop {
-            match self.wake(&strikes).await {
-                Wake::Accepted(stream) => self.serve(stream),
-                Wake::Struck(Strike::Silence) => self.gate.silence(),
-                Wake::Struck(Strike::Crash) => {
+            match self.next_event(&fault_rx).await {
+                LoopEvent::Accepted(stream) => self.serve(stream),
+                LoopEvent::Fault(ProcessFault::Silence) => self.registry.silence(),
+                LoopEvent::Fault(ProcessFault::Crash) => {
                     self.connections.clear();
                     self.state.crash();
                 }
-                Wake::Stopped => break,
+                LoopEvent::Stopped => break,
             }
         }
         self.join().await;
     }
 
-    async fn wake(&self, strikes: &async_channel::Receiver<Strike>) -> Wake {
-        let struck = async {
-            match strikes.recv().await {
-                Ok(strike) => Wake::Struck(strike),
+    async fn next_event(&self, fault_rx: &async_channel::Receiver<ProcessFault>) -> LoopEvent {
+        let fault = async {
+            match fault_rx.recv().await {
+                Ok(fault) => LoopEvent::Fault(fault),
                 Err(_) => std::future::pending().await,
             }
         };
         let accepted = async {
-            match self.server.accept(&self.stopped).await {
-                Some(stream) => Wake::Accepted(stream),
-                None => Wake::Stopped,
+            match self.server.accept(&self.shutdown).await {
+                Some(stream) => LoopEvent::Accepted(stream),
+                None => LoopEvent::Stopped,
             }
         };
-        struck.or(accepted).await
+        fault.or(accepted).await
     }
 
     fn serve(&mut self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let conn = self.gate.admit(stream);
+        let conn = self.registry.register(stream);
         let number = conn.number;
         let state = self.state.clone();
         let handler: Handler = Arc::new(move |req| state.clone().handle(req));
@@ -216,27 +218,27 @@
             max_head_bytes: 64 << 10,
             ..ServerConfig::default()
         };
-        let serve = serve_connection(conn, cfg, handler, self.stopped.clone());
+        let serve = serve_connection(conn, cfg, handler, self.shutdown.clone());
         self.connections.retain(|(_, task)| !task.is_finished());
         self.connections.push((number, self.ex.spawn(serve)));
     }
 
     async fn join(self) {
         drop(self.server);
-        let deadline = smol::Timer::after(STOP_PATIENCE);
-        let gate = self.gate;
+        let deadline = smol::Timer::after(STOP_TIMEOUT);
+        let registry = self.registry;
         let finish = async {
             for (number, task) in self.connections {
-                if gate.is_silent(number) {
+                if registry.is_silent(number) {
                     task.cancel().await;
                 } else {
                     task.await;
                 }
             }
         };
-        let late = async {
+        let timeout = async {
             deadline.await;
         };
-        finish.or(late).await;
+        finish.or(timeout).await;
     }
 }
--- a/components/standins/src/service.rs
+++ b/components/standins/src/service.rs
@@ -16,22 +16,22 @@
 use utils::{Attempt, Digest, WorkspaceId};
 
 use crate::odds::Odds;
-use crate::reply::{body_bytes, body_json, handled, json, never, segments, status};
-use crate::running::{Control, Running, StandIn, Strike, control_channel, start, unix_micros};
+use crate::reply::{body_bytes, body_json, handler_future, json, never, segments, status};
+use crate::running::{FaultSender, ProcessFault, Running, StandIn, fault_channel, start, unix_micros};
 
 /// Settings of a [`Service`].
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ServiceConfig {
-    /// Name in the host list.
+    /// Identifier in the host list.
     pub id: Arc<str>,
-    /// Time that a call takes.
+    /// Duration of a call.
     #[serde(with = "crate::time_text")]
     pub call_time: Duration,
-    /// Whether the service can be asked for the outcome of a key.
+    /// Whether the service answers queries for the outcome of an idempotency key.
     pub tells_outcomes: bool,
-    /// Seed of the faults.
+    /// Seed of the random generator that decides about faults.
     pub seed: u64,
 }
 
@@ -51,21 +51,21 @@
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ServiceFaults {
-    /// The call runs and its answer is lost with the connection.
+    /// The call runs but is never answered.
     pub lose_answers: Odds,
     /// The call does not run and is never answered.
     pub ignore: Odds,
-    /// The process dies before the call runs.
+    /// The process crashes before the call runs.
     pub crash_before: Odds,
-    /// The process dies after the call ran.
+    /// The process crashes after the call ran.
     pub crash_after: Odds,
-    /// The answer carries another request's identifier.
+    /// The response carries another request identifier.
     pub cross_answers: Odds,
-    /// Added to each call, in milliseconds.
+    /// Additional duration of each call, in milliseconds.
     pub slow_ms: u64,
 }
 
-/// A call that ran.
+/// A call that the service started to run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct CallRun {
@@ -77,64 +77,66 @@
     pub path: String,
     /// Identifier of the request.
     pub request_id: String,
-    /// Number of the try.
+    /// Number of the attempt.
     pub attempt: Attempt,
     /// BLAKE3 hash of the body.
     pub body: Digest,
-    /// When it ran, in microseconds since the Unix epoch.
+    /// When it started, in microseconds since the Unix epoch.
     pub at_micros: u64,
 }
 
-/// What a [`Service`] did.
+/// Record of what a [`Service`] did.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct ServiceRecord {
-    /// Every call that ran, in order.
+    /// Every call that was started, in order.
     pub runs: Vec<CallRun>,
 }
 
-/// Stand-in for a plain service: a ledger of grants, payments and orders. It runs whatever it is sent, also twice.
+/// Stand-in for a plain service: a ledger of grants, payments and orders.
+///
+/// It does not deduplicate: a call that is sent twice runs twice.
 pub struct Service {
     /// Settings.
     cfg: ServiceConfig,
-    /// What changes.
+    /// Mutable state.
     state: Mutex<State>,
-    /// Reaches the connections.
-    control: Control,
+    /// Injects faults into the connections.
+    fault_tx: FaultSender,
 }
 
 struct State {
-    /// What ran; a ledger outlives its process.
+    /// Record of the calls; durable, so a crash does not clear it.
     record: ServiceRecord,
-    /// Outcomes by workspace and key.
+    /// Outcomes by workspace and idempotency key.
     outcomes: HashMap<(WorkspaceId, String), CallOutcome>,
     /// Fault switches.
     faults: ServiceFaults,
-    /// Decides about faults.
+    /// Decides which calls a fault affects.
     rng: ChaCha8Rng,
 }
 
-/// The faults that hit one call.
-struct Hits {
+/// The faults that are injected into one call.
+struct CallFaults {
     lose_answer: bool,
     ignore: bool,
     crash_before: bool,
     crash_after: bool,
-    cross: bool,
+    wrong_request_id: bool,
     delay: Duration,
 }
 
 impl Service {
-    /// Starts a service that listens on `addr`; port 0 takes a free one.
+    /// Starts a service that listens on `addr`; port 0 chooses a free port.
     ///
     /// # Errors
-    /// [`HttpError::Listen`] if the address can not be had.
+    /// [`HttpError::Listen`] if the address can not be bound.
     pub fn start(
         ex: &Executor,
         addr: SocketAddr,
         cfg: ServiceConfig,
     ) -> Result<Running<Self>, Report<HttpError>> {
-        let channel = control_channel();
+        let channel = fault_channel();
         let state = State {
             record: ServiceRecord::default(),
             outcomes: HashMap::new(),
@@ -144,12 +146,12 @@
         let service = Arc::new(Self {
             cfg,
             state: Mutex::new(state),
-            control: channel.0.clone(),
+            fault_tx: channel.0.clone(),
         });
         start(ex, addr, service, channel)
     }
 
-    /// What the service did so far.
+    /// Returns a copy of the record of what the service did so far.
     pub fn record(&self) -> ServiceRecord {
         self.lock().record.clone()
     }
@@ -179,46 +181,46 @@
                 self.lock().faults = faults;
                 Ok(status(StatusCode::NO_CONTENT))
             }
-            (Method::POST, ["v1", "crash"]) => self.strike(Strike::Crash).await,
-            (Method::POST, ["v1", "silence"]) => self.strike(Strike::Silence).await,
+            (Method::POST, ["v1", "crash"]) => self.inject(ProcessFault::Crash).await,
+            (Method::POST, ["v1", "silence"]) => self.inject(ProcessFault::Silence).await,
             _ => Err(StatusCode::NOT_FOUND),
         }
     }
 
-    async fn strike(&self, strike: Strike) -> Result<Response<Body>, StatusCode> {
-        let _ = self.control.try_send(strike);
+    async fn inject(&self, fault: ProcessFault) -> Result<Response<Body>, StatusCode> {
+        let _ = self.fault_tx.try_send(fault);
         Ok(status(StatusCode::NO_CONTENT))
     }
 
     async fn call(&self, req: Request<Incoming>, path: String) -> Result<Response<Body>, StatusCode> {
         let headers = req.headers().clone();
         let body = body_bytes(req).await?;
-        let hits = self.lock().hits();
-        if hits.ignore {
+        let faults = self.lock().draw_faults();
+        if faults.ignore {
             return never().await;
         }
-        if hits.crash_before {
-            return self.die().await;
+        if faults.crash_before {
+            return self.crash_process().await;
         }
-        let run = run_of(&headers, path, &body);
+        let run = call_run(&headers, path, &body);
         self.begin(&run).await;
-        let delay = self.cfg.call_time + hits.delay;
+        let delay = self.cfg.call_time + faults.delay;
         if !delay.is_zero() {
             smol::Timer::after(delay).await;
         }
         let answer = self.finish(run).await;
-        if hits.crash_after {
-            return self.die().await;
+        if faults.crash_after {
+            return self.crash_process().await;
         }
-        if hits.lose_answer {
+        if faults.lose_answer {
             return never().await;
         }
-        Ok(reply(&headers, answer, hits.cross))
+        Ok(reply(&headers, answer, faults.wrong_request_id))
     }
 
-    /// Dies; the answer never comes since its connection closes.
-    async fn die(&self) -> Result<Response<Body>, StatusCode> {
-        let _ = self.control.try_send(Strike::Crash);
+    /// Crashes the process; the call gets no response because its connection closes.
+    async fn crash_process(&self) -> Result<Response<Body>, StatusCode> {
+        let _ = self.fault_tx.try_send(ProcessFault::Crash);
         never().await
     }
 
@@ -229,7 +231,7 @@
         state.outcomes.entry(id).or_insert(CallOutcome::Running);
     }
 
-    /// Ends a call; gives its answer.
+    /// Records the outcome of a call; returns the body of its response.
     async fn finish(&self, run: CallRun) -> String {
         let receipt = Receipt {
             workspace: run.workspace.clone(),
@@ -258,7 +260,7 @@
     }
 }
 
-/// What the caller of a ledger gets back; the same for the same call, so that a checker can compute it again.
+/// The response of a service to a call. It depends only on the call, so the checker can recompute it.
 ///
 /// ```
 /// let receipt = standins::Receipt {
@@ -283,63 +285,63 @@
 }
 
 impl Receipt {
-    /// The body of the answer.
+    /// Returns the body of the response, as JSON.
     pub fn to_text(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 }
 
 impl State {
-    fn hits(&mut self) -> Hits {
+    fn draw_faults(&mut self) -> CallFaults {
         let Self { faults, rng, .. } = self;
-        Hits {
-            ignore: faults.ignore.hits(rng),
-            crash_before: faults.crash_before.hits(rng),
-            crash_after: faults.crash_after.hits(rng),
-            lose_answer: faults.lose_answers.hits(rng),
-            cross: faults.cross_answers.hits(rng),
+        CallFaults {
+            ignore: faults.ignore.applies(rng),
+            crash_before: faults.crash_before.applies(rng),
+            crash_after: faults.crash_after.applies(rng),
+            lose_answer: faults.lose_answers.applies(rng),
+            wrong_request_id: faults.cross_answers.applies(rng),
             delay: Duration::from_millis(faults.slow_ms),
         }
     }
 }
 
-fn run_of(headers: &HeaderMap, path: String, body: &Bytes) -> CallRun {
+fn call_run(headers: &HeaderMap, path: String, body: &Bytes) -> CallRun {
     CallRun {
-        workspace: text(headers, "x-workspace").into(),
-        key: text(headers, "idempotency-key").to_owned(),
+        workspace: header_text(headers, "x-workspace").into(),
+        key: header_text(headers, "idempotency-key").to_owned(),
         path,
-        request_id: text(headers, "x-request-id").to_owned(),
-        attempt: text(headers, "x-attempt").parse().unwrap_or_default(),
+        request_id: header_text(headers, "x-request-id").to_owned(),
+        attempt: header_text(headers, "x-attempt").parse().unwrap_or_default(),
         body: utils::digest(body),
         at_micros: unix_micros(),
     }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
     headers
         .get(name)
         .and_then(|v| v.to_str().ok())
         .unwrap_or_default()
 }
 
-fn reply(headers: &HeaderMap, body: String, crossed: bool) -> Response<Body> {
-    let id = if crossed {
+fn reply(headers: &HeaderMap, body: String, wrong_request_id: bool) -> Response<Body> {
+    let id = if wrong_request_id {
         "ffffffffffffffffffffffffffffffff"
     } else {
-        text(headers, "x-request-id")
+        header_text(headers, "x-request-id")
     };
     Response::builder()
         .status(StatusCode::CREATED)
         .header("content-type", "application/json")
         .header("x-request-id", id)
-        .header("x-attempt", text(headers, "x-attempt"))
+        .header("x-attempt", header_text(headers, "x-attempt"))
         .body(full_body(body))
         .unwrap_or_else(|_| status(StatusCode::BAD_REQUEST))
 }
 
 impl StandIn for Service {
     fn handle(self: Arc<Self>, req: Request<Incoming>) -> HandlerFuture {
-        handled(self.route(req))
+        handler_future(self.route(req))
     }
 
     fn crash(&self) {
--- a/components/standins/src/store.rs
+++ b/components/standins/src/store.rs
@@ -14,21 +14,21 @@
 use targets::{Catalogue, Manifest, PieceId};
 
 use crate::odds::Odds;
-use crate::reply::{body_bytes, body_json, bytes, handled, json, never, segments, status};
-use crate::running::{Control, Running, StandIn, Strike, control_channel, start};
+use crate::reply::{body_bytes, body_json, bytes, handler_future, json, never, segments, status};
+use crate::running::{FaultSender, ProcessFault, Running, StandIn, fault_channel, start};
 
 /// Settings of a [`Store`].
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct StoreConfig {
-    /// Name in the host list.
+    /// Identifier in the host list.
     pub id: Arc<str>,
-    /// Bytes of content that fit.
+    /// Maximum size of all content, in bytes.
     pub capacity_bytes: u64,
-    /// Bytes a second that it reads or writes; 0 for no limit.
+    /// Speed of each read or write of content, in bytes per second; 0 for no limit.
     pub bytes_per_second: u64,
-    /// Seed of the faults.
+    /// Seed of the random generator that decides about faults.
     pub seed: u64,
 }
 
@@ -48,29 +48,29 @@
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct StoreFaults {
-    /// Refuses every write with status 507.
+    /// Every write of content is refused with status 507.
     pub full: bool,
-    /// Answers nothing.
+    /// Calls for pieces, manifests and the catalogue are never answered and have no effect.
     pub dead: bool,
-    /// Added to each call, in milliseconds.
+    /// Additional duration of each call, in milliseconds.
     pub slow_ms: u64,
-    /// Stores half of the content and accepts the manifest nevertheless.
+    /// Only the first half of the content is stored, and its manifest is accepted nevertheless.
     pub halve_writes: Odds,
-    /// Changes a byte of the content that is read.
+    /// The last byte of the content that is read is changed.
     pub corrupt_reads: Odds,
 }
 
-/// What a [`Store`] did.
+/// Record of what a [`Store`] did.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct StoreRecord {
-    /// Bytes of content written.
+    /// Number of bytes of content received in writes that were stored.
     pub bytes_in: u64,
-    /// Bytes of content read.
+    /// Number of bytes of content read.
     pub bytes_out: u64,
-    /// Writes refused because the store was full.
+    /// Number of writes refused because the store was full.
     pub refused: u64,
-    /// Pieces that became whole.
+    /// Number of pieces that became readable.
     pub stored: u64,
 }
 
@@ -78,55 +78,55 @@
 pub struct Store {
     /// Settings.
     cfg: StoreConfig,
-    /// What changes.
+    /// Mutable state.
     state: Mutex<State>,
-    /// Reaches the connections.
-    control: Control,
+    /// Injects faults into the connections.
+    fault_tx: FaultSender,
 }
 
 struct State {
-    /// Content by piece, also of pieces without a manifest.
+    /// Content by piece, including pieces without a manifest.
     contents: HashMap<PieceId, Bytes>,
-    /// Pieces that a fault cut short; their manifests are not checked.
+    /// Pieces whose content a fault truncated; their manifests are not verified.
     halved: HashSet<PieceId>,
     /// Manifests by piece.
     manifests: HashMap<PieceId, Manifest>,
-    /// Changes by number; true for stored, false for dropped.
+    /// Changes by number; true for a stored piece, false for a dropped one.
     changes: BTreeMap<u64, (PieceId, bool)>,
     /// Number of the next change.
-    next: u64,
-    /// Bytes in use.
-    used: u64,
-    /// Run of the process.
+    next_change: u64,
+    /// Size of all content, in bytes.
+    used_bytes: u64,
+    /// Incarnation of the process.
     incarnation: u64,
-    /// What it did.
+    /// Record of what the store did.
     record: StoreRecord,
     /// Fault switches.
     faults: StoreFaults,
-    /// Decides about faults.
+    /// Decides which calls a fault affects.
     rng: ChaCha8Rng,
 }
 
 impl Store {
-    /// Starts a store host that listens on `addr`; port 0 takes a free one.
+    /// Starts a store host that listens on `addr`; port 0 chooses a free port.
     ///
     /// # Errors
-    /// [`HttpError::Listen`] if the address can not be had.
+    /// [`HttpError::Listen`] if the address can not be bound.
     pub fn start(
         ex: &Executor,
         addr: SocketAddr,
         cfg: StoreConfig,
     ) -> Result<Running<Self>, Report<HttpError>> {
-        let channel = control_channel();
+        let channel = fault_channel();
         let store = Arc::new(Self {
             state: Mutex::new(State::new(cfg.seed)),
             cfg,
-            control: channel.0.clone(),
+            fault_tx: channel.0.clone(),
         });
         start(ex, addr, store, channel)
     }
 
-    /// What the store did so far.
+    /// Returns a copy of the record of what the store did so far.
     pub fn record(&self) -> StoreRecord {
         self.lock().record.clone()
     }
@@ -145,26 +145,26 @@
         let parts = segments(&path);
         match (req.method().clone(), parts.as_slice()) {
             (method, ["v1", "pieces", id]) => {
-                let piece = parse(id)?;
-                self.pass().await?;
-                self.piece(method, piece, req).await
+                let piece = parse_piece(id)?;
+                self.admit().await?;
+                self.handle_piece(method, piece, req).await
             }
             (Method::PUT, ["v1", "manifests", id]) => {
-                let piece = parse(id)?;
+                let piece = parse_piece(id)?;
                 let manifest: Manifest = body_json(req).await?;
-                self.pass().await?;
+                self.admit().await?;
                 self.lock().put_manifest(piece, manifest).map(status)
             }
             (Method::GET, ["v1", "manifests", id]) => {
-                let piece: PieceId = parse(id)?;
-                self.pass().await?;
+                let piece: PieceId = parse_piece(id)?;
+                self.admit().await?;
                 let state = self.lock();
                 let manifest = state.manifests.get(&piece);
                 manifest.map(json).ok_or(StatusCode::NOT_FOUND)
             }
             (Method::GET, ["v1", "catalogue", from]) => {
                 let from = from.parse().map_err(|_| StatusCode::BAD_REQUEST)?;
-                self.pass().await?;
+                self.admit().await?;
                 Ok(json(&self.lock().catalogue(from, self.cfg.capacity_bytes)))
             }
             (Method::GET, ["v1", "record"]) => Ok(json(&self.lock().record)),
@@ -174,18 +174,19 @@
                 self.lock().faults = faults;
                 Ok(status(StatusCode::NO_CONTENT))
             }
-            (Method::POST, ["v1", "crash"]) => Ok(self.strike(Strike::Crash)),
-            (Method::POST, ["v1", "silence"]) => Ok(self.strike(Strike::Silence)),
+            (Method::POST, ["v1", "crash"]) => Ok(self.inject(ProcessFault::Crash)),
+            (Method::POST, ["v1", "silence"]) => Ok(self.inject(ProcessFault::Silence)),
             _ => Err(StatusCode::NOT_FOUND),
         }
     }
 
-    fn strike(&self, strike: Strike) -> Response<Body> {
-        let _ = self.control.try_send(strike);
+    fn inject(&self, fault: ProcessFault) -> Response<Body> {
+        let _ = self.fault_tx.try_send(fault);
         status(StatusCode::NO_CONTENT)
     }
 
-    async fn pass(&self) -> Result<(), StatusCode> {
+    /// Delays a call by the injected delay. Never completes while the store is dead.
+    async fn admit(&self) -> Result<(), StatusCode> {
         let faults = self.lock().faults.clone();
         if faults.dead {
             return never().await;
@@ -196,7 +197,7 @@
         Ok(())
     }
 
-    async fn piece(
+    async fn handle_piece(
         &self,
         method: Method,
         piece: PieceId,
@@ -205,16 +206,16 @@
         match method {
             Method::PUT => {
                 let content = body_bytes(req).await?;
-                self.transfer(content.len()).await;
+                self.wait_for_transfer(content.len()).await;
                 let mut state = self.lock();
                 state
                     .put_content(piece, content, self.cfg.capacity_bytes)
                     .map(status)
             }
             Method::GET => {
-                let content = self.lock().read(piece);
+                let content = self.lock().read_content(piece);
                 let content = content.ok_or(StatusCode::NOT_FOUND)?;
-                self.transfer(content.len()).await;
+                self.wait_for_transfer(content.len()).await;
                 Ok(bytes(content))
             }
             Method::DELETE => {
@@ -225,8 +226,8 @@
         }
     }
 
-    /// Takes as long as so many bytes need.
-    async fn transfer(&self, bytes: usize) {
+    /// Waits for as long as the transfer of `bytes` takes at the configured speed.
+    async fn wait_for_transfer(&self, bytes: usize) {
         if self.cfg.bytes_per_second > 0 {
             let seconds = bytes as f64 / self.cfg.bytes_per_second as f64;
             smol::Timer::after(Duration::from_secs_f64(seconds)).await;
@@ -241,8 +242,8 @@
             halved: HashSet::new(),
             manifests: HashMap::new(),
             changes: BTreeMap::new(),
-            next: 0,
-            used: 0,
+            next_change: 0,
+            used_bytes: 0,
             incarnation: crate::unix_micros(),
             record: StoreRecord::default(),
             faults: StoreFaults::default(),
@@ -260,17 +261,17 @@
             return Ok(StatusCode::NO_CONTENT);
         }
         let replaced = self.contents.get(&piece).map_or(0, |old| old.len() as u64);
-        let used = self.used - replaced + content.len() as u64;
-        if self.faults.full || used > capacity {
+        let used_bytes = self.used_bytes - replaced + content.len() as u64;
+        if self.faults.full || used_bytes > capacity {
             self.record.refused += 1;
             return Err(StatusCode::INSUFFICIENT_STORAGE);
         }
         self.record.bytes_in += content.len() as u64;
-        if self.faults.halve_writes.hits(&mut self.rng) {
+        if self.faults.halve_writes.applies(&mut self.rng) {
             content.truncate(content.len() / 2);
             self.halved.insert(piece);
         }
-        self.used = self.used - replaced + content.len() as u64;
+        self.used_bytes = self.used_bytes - replaced + content.len() as u64;
         self.contents.insert(piece, content);
         Ok(StatusCode::NO_CONTENT)
     }
@@ -282,23 +283,23 @@
         let Some(content) = self.contents.get(&piece) else {
             return Err(StatusCode::NOT_FOUND);
         };
-        let whole = content.len() as u64 == manifest.bytes && utils::digest(content) == manifest.content;
-        if !whole && !self.halved.contains(&piece) {
+        let valid = content.len() as u64 == manifest.bytes && utils::digest(content) == manifest.content;
+        if !valid && !self.halved.contains(&piece) {
             return Err(StatusCode::CONFLICT);
         }
         if self.manifests.insert(piece, manifest).is_none() {
             self.record.stored += 1;
-            self.change(piece, true);
+            self.record_change(piece, true);
         }
         Ok(StatusCode::NO_CONTENT)
     }
 
-    /// Content of a piece with a manifest.
-    fn read(&mut self, piece: PieceId) -> Option<Bytes> {
+    /// Returns the content of a piece that has a manifest.
+    fn read_content(&mut self, piece: PieceId) -> Option<Bytes> {
         self.manifests.get(&piece)?;
         let content = self.contents.get(&piece)?.clone();
         self.record.bytes_out += content.len() as u64;
-        if !self.faults.corrupt_reads.hits(&mut self.rng) {
+        if !self.faults.corrupt_reads.applies(&mut self.rng) {
             return Some(content);
         }
         let mut changed = content.to_vec();
@@ -310,48 +311,48 @@
 
     fn drop_piece(&mut self, piece: PieceId) {
         if self.manifests.remove(&piece).is_some() {
-            self.change(piece, false);
+            self.record_change(piece, false);
         }
         if let Some(content) = self.contents.remove(&piece) {
-            self.used -= content.len() as u64;
+            self.used_bytes -= content.len() as u64;
         }
     }
 
-    fn change(&mut self, piece: PieceId, stored: bool) {
-        self.changes.insert(self.next, (piece, stored));
-        self.next += 1;
+    fn record_change(&mut self, piece: PieceId, stored: bool) {
+        self.changes.insert(self.next_change, (piece, stored));
+        self.next_change += 1;
     }
 
     fn catalogue(&self, from: u64, capacity: u64) -> Catalogue {
-        let mut last: HashMap<PieceId, bool> = HashMap::new();
+        let mut latest: HashMap<PieceId, bool> = HashMap::new();
         let mut order = Vec::new();
         for (piece, stored) in self.changes.range(from..).map(|(_, change)| change) {
-            if last.insert(*piece, *stored).is_none() {
+            if latest.insert(*piece, *stored).is_none() {
                 order.push(*piece);
             }
         }
-        let (stored, dropped) = order.into_iter().partition(|piece| last[piece]);
+        let (stored, dropped) = order.into_iter().partition(|piece| latest[piece]);
         Catalogue {
             incarnation: self.incarnation,
-            next: self.next,
+            next: self.next_change,
             stored,
             dropped,
             free_bytes: if self.faults.full {
                 0
             } else {
-                capacity.saturating_sub(self.used)
+                capacity.saturating_sub(self.used_bytes)
             },
         }
     }
 }
 
-fn parse(id: &str) -> Result<PieceId, StatusCode> {
+fn parse_piece(id: &str) -> Result<PieceId, StatusCode> {
     id.parse().map_err(|_| StatusCode::BAD_REQUEST)
 }
 
 impl StandIn for Store {
     fn handle(self: Arc<Self>, req: Request<Incoming>) -> HandlerFuture {
-        handled(self.route(req))
+        handler_future(self.route(req))
     }
 
     fn crash(&self) {
--- a/components/standins/src/time_text.rs
+++ b/components/standins/src/time_text.rs
@@ -1,11 +1,11 @@
-//! Times in settings, as text like `10us`, `2ms` or `1s`.
+//! Serialization of durations in settings, as text such as `10us`, `2ms` or `1s`.
 
 use std::time::Duration;
 
 use serde::de::Error;
 use serde::{Deserialize, Deserializer, Serializer};
 
-/// Units with their length in nanoseconds; longer names first.
+/// Units with their length in nanoseconds; `s` is last because the other names also end with it.
 const UNITS: [(&str, f64); 4] = [("ns", 1.0), ("us", 1e3), ("ms", 1e6), ("s", 1e9)];
 
 pub(crate) fn serialize<S: Serializer>(time: &Duration, serializer: S) -> Result<S::Ok, S::Error> {
@@ -14,7 +14,8 @@
 
 pub(crate) fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Duration, D::Error> {
     let text = String::deserialize(deserializer)?;
-    parse(&text).ok_or_else(|| D::Error::custom(format_args!("{text:?} is no time such as 10us, 2ms or 1s")))
+    parse(&text)
+        .ok_or_else(|| D::Error::custom(format_args!("{text:?} is not a duration such as 10us, 2ms or 1s")))
 }
 
 fn parse(text: &str) -> Option<Duration> {
@@ -35,7 +36,7 @@
     use super::parse;
 
     #[test]
-    fn reads_times_with_units() {
+    fn parses_durations_with_units() {
         assert_eq!(parse("10us"), Some(Duration::from_micros(10)));
         assert_eq!(parse("1.5 ms"), Some(Duration::from_micros(1_500)));
         assert_eq!(parse("2s"), Some(Duration::from_secs(2)));
--- a/components/standins/tests/clients.rs
+++ b/components/standins/tests/clients.rs
@@ -1,4 +1,4 @@
-//! The clients of `platform` and `targets` against the stand-ins, without faults.
+//! Tests the clients in `metadata` and `targets` against the stand-ins, without faults.
 
 mod support;
 
@@ -82,8 +82,8 @@
         let rest: String = (5..8).map(|i| expected.token(i)).collect();
         assert_eq!(text(&events), rest);
         resumed.workspace = "yard".into();
-        let foreign = engine.draft(resumed).await.err().unwrap();
-        assert_eq!(*foreign.current_context(), TargetError::Refused(404));
+        let other_workspace = engine.draft(resumed).await.err().unwrap();
+        assert_eq!(*other_workspace.current_context(), TargetError::Refused(404));
 
         let mut moved = draft(2, "hello", 8);
         (moved.offset, moved.continued) = (5, expected.text(5));
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn connection_is_used_again_after_the_end_event() {
+fn connection_is_reused_after_the_end_event() {
     run(|ex| async move {
         let running = Engine::start(&ex, loopback(), EngineConfig::default()).unwrap();
         let engine = HttpEngine::new(client(&ex), running.addr());
@@ -139,14 +139,14 @@
             smol::Timer::after(std::time::Duration::from_millis(2)).await;
         }
         read_all(engine.draft(req).await.unwrap()).await.1.unwrap();
-        let old = engine.order(Order { epoch: 4, ..order }).await.unwrap();
-        assert!(!old.accepted && old.epoch == 5);
+        let outdated = engine.order(Order { epoch: 4, ..order }).await.unwrap();
+        assert!(!outdated.accepted && outdated.epoch == 5);
         running.stop().await;
     });
 }
 
 #[test]
-fn pieces_go_from_one_engine_to_another_through_a_store() {
+fn pieces_are_transferred_between_engines_through_a_store() {
     run(|ex| async move {
         let store = Store::start(&ex, loopback(), StoreConfig::default()).unwrap();
         let first = Engine::start(&ex, loopback(), EngineConfig::default()).unwrap();
@@ -167,8 +167,8 @@
         let missing = to.import(transfer.clone()).await.unwrap_err();
         assert_eq!(*missing.current_context(), TargetError::Refused(404));
         from.export(transfer.clone()).await.unwrap();
-        let kept = HttpStore::new(client(&ex), store.addr());
-        assert_eq!(kept.catalogue(0).await.unwrap().stored, [transfer.piece]);
+        let http_store = HttpStore::new(client(&ex), store.addr());
+        assert_eq!(http_store.catalogue(0).await.unwrap().stored, [transfer.piece]);
         to.import(transfer).await.unwrap();
 
         let (events, end) = read_all(to.draft(draft(2, "hello", 4)).await.unwrap()).await;
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn service_runs_a_call_and_tells_its_outcome() {
+fn service_runs_a_call_and_reports_its_outcome() {
     run(|ex| async move {
         let running = Service::start(&ex, loopback(), ServiceConfig::default()).unwrap();
         let service = HttpService::new(client(&ex), running.addr());
--- a/components/standins/tests/engine_faults.rs
+++ b/components/standins/tests/engine_faults.rs
@@ -1,4 +1,4 @@
-//! Each fault switch of the engine stand-in, as its client sees it.
+//! Tests the effect of each fault switch of the engine stand-in on its client.
 
 mod support;
 
@@ -21,7 +21,7 @@
     (running, engine)
 }
 
-/// How a draft of eight tokens ends at an engine with these faults.
+/// Checks how a draft of eight tokens ends at an engine with these faults, and that the next draft succeeds.
 fn end_of_draft(faults: EngineFaults, expected: Result<(), TargetError>) {
     run(|ex| async move {
         let (running, engine) = faulty(&ex, faults);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn crossed_answer() {
+fn answer_with_another_request_id() {
     let cross_answers = Odds::next(1);
     let faults = EngineFaults {
         cross_answers,
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn answer_without_its_end() {
+fn answer_without_an_end_event() {
     let cut_short = Odds::next(1);
     let faults = EngineFaults {
         cut_short,
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn answer_with_a_wrong_count() {
+fn answer_with_a_wrong_token_count() {
     let wrong_count = Odds::next(1);
     let faults = EngineFaults {
         wrong_count,
@@ -79,10 +79,10 @@
         let (running, engine) = faulty(&ex, EngineFaults::default());
         let set = put_faults(&ex, running.addr(), json!({"late": {"next": 1}, "late_ms": 60})).await;
         assert_eq!(set, 204);
-        let began = Instant::now();
+        let started = Instant::now();
         let (_, end) = read_all(engine.draft(draft(1, "hello", 2)).await.unwrap()).await;
         end.unwrap();
-        assert!(began.elapsed() >= Duration::from_millis(60));
+        assert!(started.elapsed() >= Duration::from_millis(60));
         running.stop().await;
     });
 }
@@ -105,10 +105,10 @@
         };
         let (running, engine) = faulty(&ex, faults);
         let before = engine.cache_snapshot().await.unwrap();
-        let bystander = engine.draft(draft(1, "hello", 500)).await.unwrap();
-        let killed = engine.draft(draft(2, "some poison", 2)).await.err().unwrap();
-        assert_eq!(*killed.current_context(), TargetError::Interrupted);
-        let (_, end) = read_all(bystander).await;
+        let other_draft = engine.draft(draft(1, "hello", 500)).await.unwrap();
+        let crashed = engine.draft(draft(2, "some poison", 2)).await.err().unwrap();
+        assert_eq!(*crashed.current_context(), TargetError::Interrupted);
+        let (_, end) = read_all(other_draft).await;
         assert_eq!(*end.unwrap_err().current_context(), TargetError::Interrupted);
         let after = engine.cache_snapshot().await.unwrap();
         assert_ne!(before.incarnation, after.incarnation);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn crash_now_forgets_drafts() {
+fn crash_discards_drafts() {
     run(|ex| async move {
         let (running, engine) = faulty(&ex, EngineFaults::default());
         let stream = engine.draft(draft(1, "hello", 500)).await.unwrap();
@@ -154,17 +154,17 @@
     });
 }
 
-/// The result of `work`, or `None` after so many milliseconds.
+/// Returns the result of `work`, or `None` if it takes longer than `ms` milliseconds.
 async fn within<T>(ms: u64, work: impl Future<Output = T>) -> Option<T> {
-    let late = async {
+    let timeout = async {
         smol::Timer::after(Duration::from_millis(ms)).await;
         None
     };
-    smol::future::or(async { Some(work.await) }, late).await
+    smol::future::or(async { Some(work.await) }, timeout).await
 }
 
 #[test]
-fn cache_events_come_late_and_with_gaps() {
+fn cache_events_are_delayed_and_have_gaps() {
     run(|ex| async move {
         let (running, engine) = faulty(&ex, EngineFaults::default());
         for i in 0..4 {
@@ -201,12 +201,12 @@
             model: "draft".into(),
             version: 2,
         };
-        let began = Instant::now();
+        let started = Instant::now();
         engine.order(Order { epoch: 1, kind }).await.unwrap();
         while engine.load().await.unwrap().versions[0].1 == 1 {
             smol::Timer::after(Duration::from_millis(5)).await;
         }
-        assert!(began.elapsed() >= Duration::from_millis(80));
+        assert!(started.elapsed() >= Duration::from_millis(80));
         running.stop().await;
     });
 }
--- a/components/standins/tests/platform_faults.rs
+++ b/components/standins/tests/platform_faults.rs
@@ -1,4 +1,4 @@
-//! Each fault switch of the platform stand-in, as its client sees it.
+//! Tests the effect of each fault switch of the platform stand-in on its client.
 
 mod support;
 
@@ -9,6 +9,7 @@
 use standins::{Odds, Platform, PlatformConfig, PlatformFaults, Running};
 use support::{client, loopback, run};
 
+/// Starts a platform with these faults.
 fn faulty(ex: &Executor, cfg: PlatformConfig, faults: PlatformFaults) -> (Running<Platform>, HttpPlatform) {
     let running = Platform::start(ex, loopback(), cfg).unwrap();
     running.state().set_faults(faults);
@@ -21,7 +22,7 @@
 }
 
 #[test]
-fn down_takes_no_effect() {
+fn calls_while_down_have_no_effect() {
     run(|ex| async move {
         let faults = PlatformFaults {
             down: true,
@@ -39,22 +40,22 @@
 }
 
 #[test]
-fn slow_delays_each_call() {
+fn slow_ms_delays_each_call() {
     run(|ex| async move {
         let faults = PlatformFaults {
             slow_ms: 50,
             ..PlatformFaults::default()
         };
         let (running, platform) = faulty(&ex, PlatformConfig::default(), faults);
-        let began = Instant::now();
+        let started = Instant::now();
         platform.read(vec!["a".to_owned()]).await.unwrap();
-        assert!(began.elapsed() >= Duration::from_millis(50));
+        assert!(started.elapsed() >= Duration::from_millis(50));
         running.stop().await;
     });
 }
 
 #[test]
-fn lost_answer_takes_effect() {
+fn transaction_with_a_lost_answer_takes_effect() {
     run(|ex| async move {
         let faults = PlatformFaults {
             lose_answers: Odds::next(1),
@@ -69,7 +70,7 @@
 }
 
 #[test]
-fn list_lags() {
+fn changes_of_the_list_are_delayed() {
     run(|ex| async move {
         let faults = PlatformFaults {
             list_lag_ms: 80,
@@ -78,12 +79,12 @@
         let (running, platform) = faulty(&ex, PlatformConfig::default(), faults);
         let host = serde_json::json!({"id": "e", "role": "engine", "region": "r", "failure_domain": "a",
             "address": "127.0.0.1:1", "state": "live"});
-        let began = Instant::now();
+        let started = Instant::now();
         running.state().set_host(serde_json::from_value(host).unwrap());
         while platform.list().await.unwrap().is_empty() {
             smol::Timer::after(Duration::from_millis(5)).await;
         }
-        assert!(began.elapsed() >= Duration::from_millis(80));
+        assert!(started.elapsed() >= Duration::from_millis(80));
         running.stop().await;
     });
 }
@@ -112,7 +113,7 @@
 }
 
 #[test]
-fn refused_calls_take_no_effect() {
+fn refused_calls_have_no_effect() {
     run(|ex| async move {
         let faults = PlatformFaults {
             refuse: Odds::next(1),
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn silent_connections_take_no_more_calls() {
+fn calls_on_silent_connections_have_no_effect() {
     run(|ex| async move {
         let (running, platform) = faulty(&ex, PlatformConfig::default(), PlatformFaults::default());
         platform.read(vec!["a".to_owned()]).await.unwrap();
--- a/components/standins/tests/service_store_faults.rs
+++ b/components/standins/tests/service_store_faults.rs
@@ -1,4 +1,4 @@
-//! Each fault switch of the service and store stand-ins, as their clients see it.
+//! Tests the effect of each fault switch of the service and store stand-ins on their clients.
 
 mod support;
 
@@ -38,16 +38,16 @@
     }
 }
 
-/// Checks how a call fails, how often it ran and what the service says about it afterwards.
+/// Checks the error of a call, how often the call ran and which outcome the service reports afterwards.
 fn failing_call(faults: ServiceFaults, error: TargetError, runs: usize, outcome: CallOutcome) {
     run(|ex| async move {
         let (running, service) = service(&ex, ServiceConfig::default(), faults);
         let failed = service.call(call()).await.unwrap_err();
         assert_eq!(*failed.current_context(), error);
         assert_eq!(running.state().record().runs.len(), runs);
-        let told = service.outcome("mill".into(), "k".to_owned()).await.unwrap();
+        let reported = service.outcome("mill".into(), "k".to_owned()).await.unwrap();
         let kind = std::mem::discriminant;
-        assert_eq!(told.as_ref().map(kind), Some(kind(&outcome)));
+        assert_eq!(reported.as_ref().map(kind), Some(kind(&outcome)));
         running.kill().await;
     });
 }
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn service_loses_an_answer_after_its_effect() {
+fn service_runs_a_call_and_loses_the_answer() {
     let lose_answers = Odds::next(1);
     let faults = ServiceFaults {
         lose_answers,
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn service_crosses_an_answer() {
+fn service_answers_with_another_request_id() {
     let cross_answers = Odds::next(1);
     let faults = ServiceFaults {
         cross_answers,
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn service_runs_slowly_and_runs_a_repeated_call_twice() {
+fn service_is_slow_and_runs_a_retried_call_twice() {
     run(|ex| async move {
         let faults = ServiceFaults {
             slow_ms: 30,
@@ -122,13 +122,13 @@
             ..ServiceConfig::default()
         };
         let (running, service) = service(&ex, cfg, faults);
-        let began = Instant::now();
+        let started = Instant::now();
         service.call(call()).await.unwrap();
         service.call(call()).await.unwrap();
-        assert!(began.elapsed() >= Duration::from_millis(60));
+        assert!(started.elapsed() >= Duration::from_millis(60));
         assert_eq!(running.state().record().runs.len(), 2);
-        let told = service.outcome("mill".into(), "k".to_owned()).await.unwrap();
-        assert_eq!(told, None);
+        let reported = service.outcome("mill".into(), "k".to_owned()).await.unwrap();
+        assert_eq!(reported, None);
         running.stop().await;
     });
 }
@@ -153,7 +153,7 @@
     (content, manifest)
 }
 
-/// Stores a piece; gives the status of an engine's import, 200 if it took the piece.
+/// Stores a piece and imports it into an engine; returns the status of the import, 200 if it was accepted.
 async fn import(ex: &Executor, running: &Running<Store>, store: &HttpStore, faults: StoreFaults) -> u16 {
     running.state().set_faults(faults);
     let (content, manifest) = piece(1_000);
@@ -166,8 +166,8 @@
         store: running.addr(),
     };
     let imported = HttpEngine::new(client(ex), engine.addr()).import(req).await;
-    let held = engine.state().record().imports[0].clone();
-    assert_eq!(held.accepted, held.intact);
+    let import_run = engine.state().record().imports[0].clone();
+    assert_eq!(import_run.accepted, import_run.intact);
     engine.stop().await;
     match imported {
         Ok(()) => 200,
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn only_whole_pieces_can_be_read() {
+fn only_complete_pieces_can_be_read() {
     run(|ex| async move {
         let (running, store) = store(&ex, StoreConfig::default(), StoreFaults::default());
         let (content, manifest) = piece(1_000);
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn engine_refuses_pieces_that_are_halved_or_corrupt() {
+fn engine_refuses_truncated_and_corrupt_pieces() {
     run(|ex| async move {
         let (running, store) = store(&ex, StoreConfig::default(), StoreFaults::default());
         let halved = StoreFaults {
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn dead_and_slow_stores_time_out_or_wait() {
+fn dead_store_times_out_and_slow_store_delays_calls() {
     run(|ex| async move {
         let faults = StoreFaults {
             dead: true,
@@ -260,15 +260,15 @@
             ..StoreFaults::default()
         };
         running.state().set_faults(faults);
-        let began = Instant::now();
+        let started = Instant::now();
         assert_eq!(store.manifest(digest(b"piece")).await.unwrap(), None);
-        assert!(began.elapsed() >= Duration::from_millis(40));
+        assert!(started.elapsed() >= Duration::from_millis(40));
         running.kill().await;
     });
 }
 
 #[test]
-fn crashed_store_is_empty_and_a_new_incarnation() {
+fn crashed_store_is_empty_and_has_a_new_incarnation() {
     run(|ex| async move {
         let (running, store) = store(&ex, StoreConfig::default(), StoreFaults::default());
         let (content, manifest) = piece(1_000);
--- a/components/standins/tests/support/mod.rs
+++ b/components/standins/tests/support/mod.rs
@@ -5,18 +5,18 @@
 use http_io::{Client, ClientConfig, Executor};
 use targets::{DraftEvent, DraftRequest, DraftStream, TargetError};
 
-/// Runs a test's future on an executor of its own.
+/// Runs the future of a test on its own executor.
 pub(crate) fn run<F: Future<Output = ()>>(test: impl FnOnce(Executor) -> F) {
     let ex: Executor = Arc::new(smol::Executor::new());
     smol::block_on(ex.run(test(ex.clone())));
 }
 
-/// A free port on the loopback address.
+/// Returns the loopback address with port 0, which chooses a free port.
 pub(crate) fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// A client with short waits.
+/// Creates a client with a response timeout of 300 ms, which keeps tests of lost responses short.
 pub(crate) fn client(ex: &Executor) -> Client {
     let cfg = ClientConfig {
         response_timeout: std::time::Duration::from_millis(300),
@@ -25,7 +25,7 @@
     Client::new(ex.clone(), cfg)
 }
 
-/// A draft request of one full piece.
+/// Creates a draft request whose prompt contains one full piece.
 #[allow(dead_code)]
 pub(crate) fn draft(id: u128, prompt: &str, max_tokens: u32) -> DraftRequest {
     DraftRequest {
@@ -45,7 +45,7 @@
     }
 }
 
-/// Reads a stream to its end.
+/// Reads a stream to its end or first error.
 #[allow(dead_code)]
 pub(crate) async fn read_all(
     mut stream: Box<dyn DraftStream>,
@@ -60,7 +60,7 @@
     }
 }
 
-/// The text of a stream's tokens.
+/// Joins the texts of the token events.
 #[allow(dead_code)]
 pub(crate) fn text(events: &[DraftEvent]) -> String {
     events
@@ -70,7 +70,7 @@
         .collect()
 }
 
-/// Sets the fault switches of a stand-in the way an operator does.
+/// Sets the fault switches of a stand-in over HTTP; returns the status.
 #[allow(dead_code)]
 pub(crate) async fn put_faults(ex: &Executor, addr: SocketAddr, faults: serde_json::Value) -> u16 {
     let req = hyper::Request::builder()
