--- a/components/entry/src/control/demand.rs
+++ b/components/entry/src/control/demand.rs
@@ -8,9 +8,9 @@
 use crate::shared::Shared;
 
 /// Time between two settings of this host's part of the limits.
-const PERIOD: Duration = Duration::from_secs(1);
+const UPDATE_PERIOD: Duration = Duration::from_secs(1);
 /// Age at which another host's report no longer counts.
-const REPORT_LIFETIME: Duration = Duration::from_secs(10);
+const MAX_REPORT_AGE: Duration = Duration::from_secs(10);
 /// Units of a rate that a level counts, so that rates below one a second show.
 const UNITS_PER_REQUEST: f64 = 16.0;
 
@@ -18,27 +18,27 @@
 #[derive(Debug, Default)]
 pub(crate) struct DemandExchange {
     /// Reports of other hosts and when they came.
-    heard: HashMap<HostId, (Monotonic, HashMap<WorkspaceTag, DemandRates>)>,
+    reports: HashMap<HostId, (Monotonic, HashMap<WorkspaceTag, DemandRates>)>,
     /// When the next period ends.
-    due: Monotonic,
+    period_end: Monotonic,
 }
 
 impl DemandExchange {
     /// Takes another host's report. A report names only the workspaces that asked for something.
-    pub(crate) fn hear(&mut self, from: HostId, demand: &[Demand], now: Monotonic) {
+    pub(crate) fn record_report(&mut self, from: HostId, demand: &[Demand], now: Monotonic) {
         let rates = demand.iter().map(|d| (d.workspace, decode(d)));
-        self.heard.insert(from, (now, rates.collect()));
+        self.reports.insert(from, (now, rates.collect()));
     }
 
     /// Sets this host's parts of the limits and gives its own report, if a period has passed.
     pub(crate) fn end_period(&mut self, shared: &Shared, now: Monotonic) -> Option<Vec<Demand>> {
-        if now < self.due {
+        if now < self.period_end {
             return None;
         }
-        self.due = now + PERIOD;
-        self.heard
-            .retain(|_, (at, _)| now.saturating_sub(*at) < REPORT_LIFETIME);
-        let reports: Vec<_> = self.heard.values().map(|(_, rates)| rates).collect();
+        self.period_end = now + UPDATE_PERIOD;
+        self.reports
+            .retain(|_, (at, _)| now.saturating_sub(*at) < MAX_REPORT_AGE);
+        let reports: Vec<_> = self.reports.values().map(|(_, rates)| rates).collect();
         let hosts = shared.view.load().entry_hosts;
         let own = shared.limiter.end_period(&reports, hosts, now);
         Some(
@@ -69,15 +69,18 @@
     use super::*;
 
     #[test]
-    fn rates_survive_the_wire_within_a_tenth() {
+    fn rates_survive_encoding_within_13_percent() {
         for requests in [0.25, 1.0, 7.0, 400.0] {
             let rates = DemandRates {
                 requests,
                 tokens: requests * 900.0,
             };
-            let back = decode(&encode(WorkspaceTag::of("mill"), &rates));
-            assert!((back.requests / rates.requests - 1.0).abs() <= 0.13, "{back:?}");
-            assert!((back.tokens / rates.tokens - 1.0).abs() <= 0.13, "{back:?}");
+            let decoded = decode(&encode(WorkspaceTag::of("mill"), &rates));
+            assert!(
+                (decoded.requests / rates.requests - 1.0).abs() <= 0.13,
+                "{decoded:?}"
+            );
+            assert!((decoded.tokens / rates.tokens - 1.0).abs() <= 0.13, "{decoded:?}");
         }
     }
 }
--- a/components/entry/src/control/kept.rs
+++ b/components/entry/src/control/kept.rs
@@ -10,14 +10,14 @@
 use targets::{PIECE_TOKENS, PieceId};
 use utils::{Monotonic, TargetId, WeightVersion, WorkspaceId};
 
-use super::watch::{CacheNews, Export};
+use super::watch::{CacheUpdate, Export};
 use crate::cache::CacheCell;
 
 /// Rate that is assumed of a store before it is measured, in bytes a second.
-const ASSUMED_RATE: f64 = 125e6;
+const DEFAULT_BYTES_PER_SECOND: f64 = 125e6;
 
 /// Exports that wait for the exporter.
-const EXPORTS: usize = 256;
+const EXPORT_QUEUE_CAPACITY: usize = 256;
 
 /// What is known of kept cache: copies, stores and what is worth keeping. Lives on the control thread.
 pub(crate) struct KeptCache {
@@ -43,7 +43,7 @@
 
 impl KeptCache {
     pub(crate) fn new() -> (Self, async_channel::Receiver<Export>) {
-        let (tx, rx) = async_channel::bounded(EXPORTS);
+        let (tx, rx) = async_channel::bounded(EXPORT_QUEUE_CAPACITY);
         let kept = Self {
             directory: Directory::default(),
             stores: BTreeMap::new(),
@@ -55,24 +55,28 @@
     }
 
     /// Takes the stores of the platform's list.
-    pub(crate) fn take_stores<'a>(
+    pub(crate) fn apply_stores<'a>(
         &mut self,
         listed: impl Iterator<Item = &'a ListedHost> + Clone,
         view: &mut PlacementView,
     ) {
         let directory = &mut self.directory;
         self.stores.retain(|id, (key, _)| {
-            let stays = listed.clone().any(|h| h.id == *id);
-            if !stays {
+            let is_listed = listed.clone().any(|h| h.id == *id);
+            if !is_listed {
                 view.stores.remove(*key);
                 directory.remove_store(*key);
             }
-            stays
+            is_listed
         });
         for host in listed {
-            let known = self.stores.entry(host.id.clone());
-            let (key, _) =
-                known.or_insert_with(|| (view.stores.insert(new_store(host)), LinkMeter::new(ASSUMED_RATE)));
+            let entry = self.stores.entry(host.id.clone());
+            let (key, _) = entry.or_insert_with(|| {
+                (
+                    view.stores.insert(new_store(host)),
+                    LinkMeter::new(DEFAULT_BYTES_PER_SECOND),
+                )
+            });
             if let Some(store) = view.stores.get_mut(*key) {
                 store.address = host.address;
             }
@@ -84,62 +88,67 @@
     }
 
     /// Takes what a target said.
-    pub(crate) fn take_target(&mut self, key: CandidateKey, news: &CacheNews) {
-        match news {
+    pub(crate) fn apply_target_update(&mut self, key: CandidateKey, update: &CacheUpdate) {
+        match update {
             // A gap shows in the directory as doubt; the watcher then reads a snapshot by itself.
-            CacheNews::Events(batch) => {
+            CacheUpdate::Events(batch) => {
                 let _ = self.directory.apply_events(key, batch);
             }
-            CacheNews::Snapshot(snapshot) => self.directory.apply_snapshot(key, snapshot),
-            CacheNews::Catalogue(..) | CacheNews::PieceBytes(_) | CacheNews::Exported(_) => {}
+            CacheUpdate::Snapshot(snapshot) => self.directory.apply_snapshot(key, snapshot),
+            CacheUpdate::Catalogue(..) | CacheUpdate::PieceBytes(_) | CacheUpdate::Exported(_) => {}
         }
     }
 
     /// Takes what a store said.
-    pub(crate) fn take_store(&mut self, id: &TargetId, news: CacheNews, view: &mut PlacementView) {
+    pub(crate) fn apply_store_update(
+        &mut self,
+        id: &TargetId,
+        update: CacheUpdate,
+        view: &mut PlacementView,
+    ) {
         let Some((key, _)) = self.stores.get(id) else {
             return;
         };
-        match news {
-            CacheNews::Catalogue(from, catalogue) => {
+        match update {
+            CacheUpdate::Catalogue(from, catalogue) => {
                 let _ = self.directory.apply_catalogue(*key, from, &catalogue);
             }
-            CacheNews::PieceBytes(bytes) => view.piece_bytes = view.piece_bytes.max(bytes),
-            CacheNews::Exported(pieces) => {
+            CacheUpdate::PieceBytes(bytes) => view.piece_bytes = view.piece_bytes.max(bytes),
+            CacheUpdate::Exported(pieces) => {
                 for piece in pieces {
                     self.exporting.end(piece, id.clone());
                 }
             }
-            CacheNews::Events(_) | CacheNews::Snapshot(_) => {}
+            CacheUpdate::Events(_) | CacheUpdate::Snapshot(_) => {}
         }
     }
 
     /// Counts a transfer from a store.
-    pub(crate) fn fetch_started(&mut self, store: SocketAddr, view: &PlacementView, now: Monotonic) {
+    pub(crate) fn record_fetch_start(&mut self, store: SocketAddr, view: &PlacementView, now: Monotonic) {
         if let Some(meter) = self.meter(store, view) {
             meter.started(view.piece_bytes, now);
         }
     }
 
     /// Takes how a transfer from a store ended.
-    pub(crate) fn fetch_ended(
+    pub(crate) fn record_fetch_end(
         &mut self,
         store: SocketAddr,
-        is_whole: bool,
+        is_complete: bool,
         view: &PlacementView,
         now: Monotonic,
     ) {
         let Some(meter) = self.meter(store, view) else {
             return;
         };
-        match is_whole {
+        match is_complete {
             true => meter.finished(view.piece_bytes, now),
             false => meter.failed(view.piece_bytes, now),
         }
     }
 
     /// Takes that a target has computed or read a prompt, and copies to its region's store what is worth it.
-    pub(crate) fn prefilled(&mut self, prompt: &Prefilled<'_>, view: &PlacementView, now: Monotonic) {
+    pub(crate) fn record_prefill(&mut self, prompt: &Prefilled<'_>, view: &PlacementView, now: Monotonic) {
         self.directory.add_expected(prompt.key, prompt.pieces);
         for (depth, piece) in prompt.pieces.iter().enumerate() {
             self.retention
@@ -148,28 +157,28 @@
         let Some(candidate) = view.targets.get(prompt.key) else {
             return;
         };
-        let near = self.stores.iter().find_map(|(id, (key, meter))| {
+        let region_store = self.stores.iter().find_map(|(id, (key, meter))| {
             let store = view.stores.get(*key)?;
-            let is_near = store.region == candidate.region && meter.is_usable(now);
-            is_near.then(|| (id.clone(), *key, store.address, meter.rate()))
+            let is_in_region = store.region == candidate.region && meter.is_usable(now);
+            is_in_region.then(|| (id.clone(), *key, store.address, meter.rate()))
         });
-        let Some((id, key, address, rate)) = near else {
+        let Some((id, key, address, rate)) = region_store else {
             return;
         };
         let copies = self.directory.view().copies(prompt.pieces);
-        let held = copies
+        let stored = copies
             .stores()
             .iter()
             .find(|c| c.store == key)
             .map_or(0, |c| c.pieces);
-        let copy = write_back(candidate, view.piece_bytes, rate);
+        let costs = write_back(candidate, view.piece_bytes, rate);
         let mut pieces = Vec::new();
         for (depth, piece) in prompt.pieces.iter().enumerate().take(u128::BITS as usize) {
-            let is_worth = held >> depth & 1 == 0
+            let should_export = stored >> depth & 1 == 0
                 && self
                     .retention
-                    .is_worth_writing(prompt.workspace, depth as u16, &copy);
-            if is_worth && self.exporting.begin(*piece, id.clone()) == TransferStart::Start {
+                    .is_worth_writing(prompt.workspace, depth as u16, &costs);
+            if should_export && self.exporting.begin(*piece, id.clone()) == TransferStart::Start {
                 pieces.push(*piece);
             }
         }
@@ -222,7 +231,7 @@
         address: host.address,
         region: host.region.clone(),
         is_usable: true,
-        bytes_per_second: ASSUMED_RATE,
+        bytes_per_second: DEFAULT_BYTES_PER_SECOND,
         backlog_bytes: 0,
     }
 }
--- a/components/entry/src/control/mod.rs
+++ b/components/entry/src/control/mod.rs
@@ -35,15 +35,15 @@
 pub(crate) use peers::open as open_peers;
 
 /// Longest wait for the last settlements.
-const SETTLE_WAIT: Duration = Duration::from_secs(10);
+const SETTLEMENT_TIMEOUT: Duration = Duration::from_secs(10);
 /// Inputs that wait for the control loop.
 const QUEUE_LENGTH: usize = 1_024;
 /// Publishing may take one part in this many of a core.
 const PUBLISH_SHARE_INVERSE: u32 = 250;
 /// Shortest time from a change to the view that shows it.
-const SHORTEST_PUBLISH_INTERVAL: Duration = Duration::from_millis(10);
+const MIN_PUBLISH_INTERVAL: Duration = Duration::from_millis(10);
 /// Longest time from a change to the view that shows it.
-const LONGEST_PUBLISH_INTERVAL: Duration = Duration::from_secs(1);
+const MAX_PUBLISH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What the control thread takes from the others.
 pub(crate) struct Sources {
@@ -54,7 +54,7 @@
     /// Writes claims and settlements.
     pub writer: LedgerWriter,
     /// Rows of requests that were aboard crashes.
-    pub news: async_channel::Receiver<TableCommand>,
+    pub table_commands: async_channel::Receiver<TableCommand>,
     /// Connections to other entry hosts and what arrives over them; `None` without keys.
     pub peers: Option<(Transport, async_channel::Receiver<Arrived>)>,
 }
@@ -88,8 +88,8 @@
         shared.settings.platform.address,
     ));
     let (tx, inputs) = async_channel::bounded(QUEUE_LENGTH);
-    let (told, heard) = async_channel::bounded(QUEUE_LENGTH);
-    let front = ex.spawn(operators::serve(
+    let (peer_states_tx, peer_states) = async_channel::bounded(QUEUE_LENGTH);
+    let operator_server = ex.spawn(operators::serve(
         shared.clone(),
         operators,
         ex.clone(),
@@ -101,17 +101,26 @@
         ex.spawn(peers::tick(tx.clone())),
         ex.spawn(store_records(shared.clone(), sources.records)),
         ex.spawn(poll::poll_list(shared.clone(), platform.clone(), tx.clone())),
-        ex.spawn(suspects::write(shared.clone(), platform.clone(), sources.news)),
+        ex.spawn(suspects::write(
+            shared.clone(),
+            platform.clone(),
+            sources.table_commands,
+        )),
         ex.spawn(suspects::scan(shared.clone(), platform.clone())),
-        ex.spawn(roster::keep(shared.clone(), platform.clone())),
-        ex.spawn(notes::follow(shared.clone(), platform.clone(), tx.clone(), heard)),
+        ex.spawn(roster::maintain(shared.clone(), platform.clone())),
+        ex.spawn(notes::follow(
+            shared.clone(),
+            platform.clone(),
+            tx.clone(),
+            peer_states,
+        )),
         ex.spawn(poll::poll_loads(
             shared.clone(),
             client.clone(),
             ex.clone(),
             tx.clone(),
         )),
-        ex.spawn(watch::watch_caches(
+        ex.spawn(watch::poll_caches(
             shared.clone(),
             client.clone(),
             ex.clone(),
@@ -120,52 +129,52 @@
         ex.spawn(watch::export(shared.clone(), client, exports, tx.clone())),
     ];
     pollers.extend(arrivals.map(|arrivals| ex.spawn(peers::receive(arrivals, tx))));
-    let members = PeerControl::new(shared.clone(), transport.clone(), told);
-    let state = ControlState::new(shared.clone(), members, kept);
-    let work = run_loop(state, inputs, sources.observations);
+    let peer_control = PeerControl::new(shared.clone(), transport.clone(), peer_states_tx);
+    let state = ControlState::new(shared.clone(), peer_control, kept);
+    let control_loop = run_loop(state, inputs, sources.observations);
     let stopped = async {
         let _ = stop.recv().await;
     };
-    work.or(stopped).await;
+    control_loop.or(stopped).await;
     for poller in pollers {
         poller.cancel().await;
     }
     if let Some(transport) = transport {
         transport.shutdown().await;
     }
-    notes::say_stopped(&shared, platform).await;
-    front.await;
-    hand_in_settlements(&shared, writer).await;
+    notes::record_stopped(&shared, platform).await;
+    operator_server.await;
+    flush_settlements(&shared, writer).await;
 }
 
 /// Waits until every settlement is written, or longer than the table service may take.
-async fn hand_in_settlements(shared: &Shared, writer: smol::Task<()>) {
+async fn flush_settlements(shared: &Shared, writer: smol::Task<()>) {
     shared.ledger.close();
-    let late = async {
-        smol::Timer::after(SETTLE_WAIT).await;
+    let timeout = async {
+        smol::Timer::after(SETTLEMENT_TIMEOUT).await;
         let backlog = shared.ledger.stats().backlog.load(Ordering::Relaxed);
         warn!(shared.log, "settlements are left"; events::SETTLEMENTS_LEFT, "count" => backlog);
     };
-    writer.or(late).await;
+    writer.or(timeout).await;
 }
 
 /// Stores what became of requests as the traffic threads report it.
 async fn store_records(shared: Arc<Shared>, records: Records) {
-    while let Ok((id, remembered)) = records.recv().await {
-        shared.outcomes.store(id, remembered);
+    while let Ok((id, record)) = records.recv().await {
+        shared.outcomes.store(id, record);
     }
 }
 
 /// What the control loop takes next.
-enum Work {
-    /// News from a poller.
+enum LoopEvent {
+    /// TableCommand from a poller.
     Input(state::Input),
-    /// News from a traffic thread.
+    /// TableCommand from a traffic thread.
     Observation(Observation),
     /// It is time to publish what changed.
     Publish,
     /// Nothing can come any more.
-    End,
+    Closed,
 }
 
 /// Applies news as it comes; publishes what changed after an interval that grows with the cost of a view.
@@ -175,35 +184,40 @@
     observations: async_channel::Receiver<Observation>,
 ) {
     let mut publish_at: Option<Instant> = None;
-    let mut interval = SHORTEST_PUBLISH_INTERVAL;
+    let mut interval = MIN_PUBLISH_INTERVAL;
     loop {
-        let input = async { inputs.recv().await.map_or(Work::End, Work::Input) };
-        let seen = async { observations.recv().await.map_or(Work::End, Work::Observation) };
-        let due = async {
+        let input = async { inputs.recv().await.map_or(LoopEvent::Closed, LoopEvent::Input) };
+        let observation = async {
+            observations
+                .recv()
+                .await
+                .map_or(LoopEvent::Closed, LoopEvent::Observation)
+        };
+        let publish_due = async {
             match publish_at {
                 Some(at) => smol::Timer::at(at).await,
                 None => std::future::pending().await,
             };
-            Work::Publish
+            LoopEvent::Publish
         };
-        match due.or(input).or(seen).await {
-            Work::Input(state::Input::Notes { obeyed, done }) => {
-                state.take_notes(obeyed);
+        match publish_due.or(input).or(observation).await {
+            LoopEvent::Input(state::Input::Notes { enforced, done }) => {
+                state.apply_notes(enforced);
                 state.publish();
-                state.tell_notes();
+                state.send_note_state();
                 let _ = done.send(()).await;
                 continue;
             }
-            Work::Input(input) => state.apply(input),
-            Work::Observation(observation) => state.observe(&observation),
-            Work::Publish => {
+            LoopEvent::Input(input) => state.apply(input),
+            LoopEvent::Observation(observation) => state.observe(&observation),
+            LoopEvent::Publish => {
                 let began = Instant::now();
                 state.publish();
                 interval = publish_interval(began.elapsed());
                 publish_at = None;
                 continue;
             }
-            Work::End => return,
+            LoopEvent::Closed => return,
         }
         publish_at.get_or_insert_with(|| Instant::now() + interval);
     }
@@ -211,7 +225,7 @@
 
 /// The interval at which publishing takes its share of a core, within bounds.
 fn publish_interval(cost: Duration) -> Duration {
-    (cost * PUBLISH_SHARE_INVERSE).clamp(SHORTEST_PUBLISH_INTERVAL, LONGEST_PUBLISH_INTERVAL)
+    (cost * PUBLISH_SHARE_INVERSE).clamp(MIN_PUBLISH_INTERVAL, MAX_PUBLISH_INTERVAL)
 }
 
 #[cfg(test)]
@@ -219,15 +233,12 @@
     use super::*;
 
     #[test]
-    fn publishing_keeps_to_its_share_of_a_core() {
-        assert_eq!(
-            publish_interval(Duration::from_micros(3)),
-            SHORTEST_PUBLISH_INTERVAL
-        );
+    fn the_publish_interval_limits_the_share_of_a_core() {
+        assert_eq!(publish_interval(Duration::from_micros(3)), MIN_PUBLISH_INTERVAL);
         assert_eq!(
             publish_interval(Duration::from_millis(1)),
             Duration::from_millis(250)
         );
-        assert_eq!(publish_interval(Duration::from_secs(1)), LONGEST_PUBLISH_INTERVAL);
+        assert_eq!(publish_interval(Duration::from_secs(1)), MAX_PUBLISH_INTERVAL);
     }
 }
--- a/components/entry/src/control/notes.rs
+++ b/components/entry/src/control/notes.rs
@@ -19,50 +19,50 @@
 use crate::shared::Shared;
 
 /// Longest wait between two tries while the platform fails.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(4);
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
 /// Times that a starting host looks for the platform's list before its first call.
-const LIST_CHECKS: u32 = 10;
+const MAX_LIST_CHECKS: u32 = 10;
 /// Time between two looks.
 const LIST_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Longest wait for the row that says that the host has ended.
-const LONGEST_FAREWELL: Duration = Duration::from_millis(500);
+const STOP_RECORD_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Follows the release notes: reads the head, publishes what must be obeyed, acknowledges what is staged.
 pub(crate) async fn follow(
     shared: Arc<Shared>,
     platform: Arc<HttpPlatform>,
     tx: Inputs,
-    heard: async_channel::Receiver<HeardNotes>,
+    peer_states: async_channel::Receiver<PeerNoteState>,
 ) {
     let store = NoteStore::new(platform.clone(), platform);
-    let mut follower = Follower::new(shared, store, tx, heard);
-    follower.wait_for_turn().await;
+    let mut follower = Follower::new(shared, store, tx, peer_states);
+    follower.delay_start().await;
     loop {
-        if follower.is_registered().await {
+        if follower.ensure_registered().await {
             follower.read().await;
             follower.acknowledge().await;
         }
         let wait = smol::Timer::after(follower.next_wait());
-        follower.while_hearing(wait).await;
+        follower.while_receiving(wait).await;
     }
 }
 
 /// Says in the host's row that this run takes no more new work, so that no note waits for it.
-pub(crate) async fn say_stopped(shared: &Shared, platform: Arc<HttpPlatform>) {
+pub(crate) async fn record_stopped(shared: &Shared, platform: Arc<HttpPlatform>) {
     let store = NoteStore::new(platform.clone(), platform);
-    let say = async {
+    let record = async {
         let (revision, mut row) = store.register(first_row(shared)).await?;
         row.is_stopped = true;
         store.update_host(revision, &row).await.map(|_| ())
     };
-    let late = async {
-        smol::Timer::after(LONGEST_FAREWELL).await;
+    let timeout = async {
+        smol::Timer::after(STOP_RECORD_TIMEOUT).await;
         Err(Report::new(NoteError::Platform(
             metadata::PlatformError::AnswerLost,
         )))
     };
-    if let Err(e) = say.or(late).await {
+    if let Err(e) = record.or(timeout).await {
         warn!(shared.log, "end not recorded"; events::PLATFORM_FAILED,
             "what" => "notes", "error" => %e.current_context());
     }
@@ -83,7 +83,7 @@
 
 /// What another entry host said about the notes in a heartbeat.
 #[derive(Debug)]
-pub(crate) struct HeardNotes {
+pub(crate) struct PeerNoteState {
     /// The other host.
     pub from: HostId,
     /// Its run.
@@ -103,13 +103,13 @@
     /// Reads the head with its content.
     reader: NoteReader,
     /// What is known, and until when the host may take new work.
-    holder: NoteReplica,
+    replica: NoteReplica,
     /// Builds the views.
     builder: EnforcedNotesBuilder,
     /// Content of what the holder knows.
     content: Option<HeadContent>,
     /// What other entry hosts say.
-    heard: async_channel::Receiver<HeardNotes>,
+    peer_states: async_channel::Receiver<PeerNoteState>,
     /// The host's row and its version; `None` while they are not known.
     row: Option<(RowVersion, HostRow)>,
     /// State of the last published view.
@@ -131,15 +131,15 @@
         shared: Arc<Shared>,
         store: NoteStore,
         tx: Inputs,
-        heard: async_channel::Receiver<HeardNotes>,
+        peer_states: async_channel::Receiver<PeerNoteState>,
     ) -> Self {
         let host = &shared.settings.host;
         Self {
             reader: NoteReader::new(store.clone()),
-            holder: NoteReplica::new(host.id.clone(), shared.incarnation, host.region.clone()),
+            replica: NoteReplica::new(host.id.clone(), shared.incarnation, host.region.clone()),
             builder: EnforcedNotesBuilder::default(),
             content: None,
-            heard,
+            peer_states,
             row: None,
             published: NoteState::default(),
             tx,
@@ -153,38 +153,39 @@
     }
 
     /// Spreads the first calls of hosts that start together, as soon as the list tells how many there are.
-    async fn wait_for_turn(&self) {
-        for _ in 0..LIST_CHECKS {
+    async fn delay_start(&self) {
+        for _ in 0..MAX_LIST_CHECKS {
             if self.shared.view.load().entry_hosts > 0 {
                 break;
             }
             smol::Timer::after(LIST_CHECK_INTERVAL).await;
         }
-        smol::Timer::after(self.spread()).await;
+        smol::Timer::after(self.random_delay()).await;
     }
 
     /// Waits for something while what other hosts say keeps counting.
-    async fn while_hearing<T>(&mut self, work: impl Future<Output = T>) -> T {
-        let heard = self.heard.clone();
+    async fn while_receiving<T>(&mut self, work: impl Future<Output = T>) -> T {
+        let peer_states = self.peer_states.clone();
         let mut work = std::pin::pin!(work);
         loop {
             let done = async { Waited::Done(work.as_mut().await) };
-            let next = async { heard.recv().await.map_or(Waited::Closed, Waited::Heard) };
+            let next = async { peer_states.recv().await.map_or(Waited::Closed, Waited::Received) };
             match done.or(next).await {
                 Waited::Done(value) => return value,
-                Waited::Heard(heard) => self.hear(&heard).await,
+                Waited::Received(peer_state) => self.apply_peer_state(&peer_state).await,
                 Waited::Closed => return work.await,
             }
         }
     }
 
     /// Takes what another host said: it keeps this one serving, or shows that a staged change is accepted.
-    async fn hear(&mut self, heard: &HeardNotes) {
-        let effects = match heard.probe_sent {
-            Some(sent) => self
-                .holder
-                .on_answer(&heard.from, heard.incarnation, sent, &heard.state),
-            None => self.holder.on_peer_state(&heard.state),
+    async fn apply_peer_state(&mut self, peer_state: &PeerNoteState) {
+        let effects = match peer_state.probe_sent {
+            Some(sent) => {
+                self.replica
+                    .on_answer(&peer_state.from, peer_state.incarnation, sent, &peer_state.state)
+            }
+            None => self.replica.on_peer_state(&peer_state.state),
         };
         if effects.contains(&ReplicaEffect::Publish) {
             self.promote_staged();
@@ -212,15 +213,17 @@
 
     /// Registers this run if that is not done: before the first reading, so that no earlier run can
     /// acknowledge after it, and after an acknowledgement whose answer is lost.
-    async fn is_registered(&mut self) -> bool {
+    async fn ensure_registered(&mut self) -> bool {
         if self.row.is_some() || self.is_superseded {
             return true;
         }
         let (store, row) = (self.store.clone(), first_row(&self.shared));
-        let registered = self.while_hearing(async move { store.register(row).await }).await;
-        self.row = self.health.note(platform_error(registered));
+        let registered = self
+            .while_receiving(async move { store.register(row).await })
+            .await;
+        self.row = self.health.record(platform_error(registered));
         if let Some((_, row)) = &self.row {
-            self.holder.on_acknowledged(row.acknowledged);
+            self.replica.on_acknowledged(row.acknowledged);
             return true;
         }
         self.failures += 1;
@@ -235,7 +238,7 @@
             let read = reader.read().await;
             (reader, read)
         };
-        let (reader, read) = self.while_hearing(reading).await;
+        let (reader, read) = self.while_receiving(reading).await;
         self.reader = reader;
         let content = match read {
             Err(e) if matches!(e.current_context(), NoteError::NoHead) => {
@@ -247,15 +250,15 @@
                 self.failures += 1;
                 return self.log_confirmation();
             }
-            other => self.health.note(platform_error(other)),
+            other => self.health.record(platform_error(other)),
         };
         let Some(content) = content else {
             self.failures += 1;
             return self.log_confirmation();
         };
         self.failures = 0;
-        self.holder.on_head_read(sent, &content.head_read);
-        let holds = |seq| self.holder.head().is_some_and(|head| head.seq == seq);
+        self.replica.on_head_read(sent, &content.head_read);
+        let holds = |seq| self.replica.head().is_some_and(|head| head.seq == seq);
         if holds(content.head_read.head.seq) {
             self.content = Some(content);
         }
@@ -268,13 +271,13 @@
         let Some(content) = &self.content else {
             return;
         };
-        let state = self.holder.state();
-        let serves_until = self.holder.serves_until();
+        let state = self.replica.state();
+        let serves_until = self.replica.serves_until();
         if state != self.published {
             let staged = content.staged.as_deref();
-            let obeyed = self.builder.build(state, &content.declared, staged, serves_until);
+            let enforced = self.builder.build(state, &content.declared, staged, serves_until);
             self.log_change(state);
-            if !self.send(obeyed).await {
+            if !self.send(enforced).await {
                 return;
             }
             self.published = state;
@@ -283,38 +286,38 @@
     }
 
     /// Hands a view to the control loop and waits until it is published.
-    async fn send(&self, obeyed: EnforcedNotes) -> bool {
+    async fn send(&self, enforced: EnforcedNotes) -> bool {
         let (done, published) = async_channel::bounded(1);
-        let input = Input::Notes { obeyed, done };
+        let input = Input::Notes { enforced, done };
         self.tx.send(input).await.is_ok() && published.recv().await.is_ok()
     }
 
     /// Acknowledges the staged change, which the published view obeys. Hosts spread their writes.
     async fn acknowledge(&mut self) {
-        let Some(seq) = self.holder.unacknowledged() else {
+        let Some(seq) = self.replica.unacknowledged() else {
             return;
         };
-        let turn = smol::Timer::after(self.spread());
-        self.while_hearing(turn).await;
+        let turn = smol::Timer::after(self.random_delay());
+        self.while_receiving(turn).await;
         let Some((revision, mut row)) = self.row.take() else {
             return;
         };
         row.acknowledged = seq;
         let (store, written) = (self.store.clone(), row.clone());
         let write = async move { store.update_host(revision, &written).await };
-        match self.while_hearing(write).await {
+        match self.while_receiving(write).await {
             Ok(revision) => {
-                self.holder.on_acknowledged(seq);
+                self.replica.on_acknowledged(seq);
                 self.row = Some((revision, row));
             }
             Err(e) if matches!(e.current_context(), NoteError::OtherRun { .. }) => {
                 warn!(self.shared.log, "another run has this host's name"; events::HOST_SUPERSEDED);
                 self.is_superseded = true;
-                self.holder.stop();
+                self.replica.stop();
                 self.shared.gate.open(&self.published, Monotonic::ZERO);
             }
             Err(e) => {
-                self.health.note::<()>(platform_error(Err(e)));
+                self.health.record::<()>(platform_error(Err(e)));
             }
         }
     }
@@ -325,11 +328,11 @@
         let shortest = Duration::from_millis(self.shared.settings.platform.head_interval_ms);
         let interval = head_interval(shortest, hosts);
         let backoff = interval * 2_u32.pow(self.failures.min(4));
-        jittered(backoff.min(LONGEST_BACKOFF.max(interval)))
+        jittered(backoff.min(MAX_BACKOFF.max(interval)))
     }
 
     /// A random part of the time that all hosts take for one write each.
-    fn spread(&self) -> Duration {
+    fn random_delay(&self) -> Duration {
         let window = write_window(self.shared.view.load().entry_hosts);
         window.mul_f64(rand::rng().random_range(0.0..1.0))
     }
@@ -351,7 +354,7 @@
     /// Logs when new work is refused because the head is not confirmed, and when it is taken again.
     fn log_confirmation(&mut self) {
         let is_unconfirmed =
-            self.published.head > 0 && !self.holder.may_take_new_work(self.shared.clock.now());
+            self.published.head > 0 && !self.replica.may_take_new_work(self.shared.clock.now());
         if is_unconfirmed && !self.is_unconfirmed {
             warn!(self.shared.log, "head not confirmed, no new work"; events::HEAD_UNCONFIRMED,
                 "version" => self.published.version);
@@ -368,7 +371,7 @@
     /// What was waited for.
     Done(T),
     /// Another host said something.
-    Heard(HeardNotes),
+    Received(PeerNoteState),
     /// No host can say anything any more.
     Closed,
 }
--- a/components/entry/src/control/peers.rs
+++ b/components/entry/src/control/peers.rs
@@ -14,12 +14,12 @@
 use utils::TargetId;
 
 use super::demand::DemandExchange;
-use super::notes::HeardNotes;
+use super::notes::PeerNoteState;
 use super::state::Input as ControlInput;
 use crate::shared::Shared;
 
 /// Time between two ticks of the membership.
-const TICK: Duration = Duration::from_millis(250);
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Hosts and targets as this host knows them.
 pub(crate) struct PeerControl {
@@ -34,9 +34,9 @@
     /// What workspaces ask of the other hosts.
     demand: DemandExchange,
     /// Takes what other hosts say about the notes; a full channel drops, the next heartbeat says it again.
-    told: async_channel::Sender<HeardNotes>,
+    note_states: async_channel::Sender<PeerNoteState>,
     /// Whether the other hosts know that this one leaves.
-    has_left: bool,
+    is_leave_announced: bool,
 }
 
 /// What the rest of the control state uses in place of the platform's list.
@@ -51,7 +51,7 @@
     pub(crate) fn new(
         shared: Arc<Shared>,
         transport: Option<Transport>,
-        told: async_channel::Sender<HeardNotes>,
+        note_states: async_channel::Sender<PeerNoteState>,
     ) -> Self {
         let host = &shared.settings.host;
         let identity = Identity {
@@ -66,13 +66,13 @@
             transport,
             unprobed: Vec::new(),
             demand: DemandExchange::default(),
-            told,
-            has_left: false,
+            note_states,
+            is_leave_announced: false,
         }
     }
 
     /// Takes the platform's list.
-    pub(crate) fn take_list(&mut self, list: Vec<ListedHost>) -> Option<Members> {
+    pub(crate) fn apply_list(&mut self, list: Vec<ListedHost>) -> Option<Members> {
         let own = self.shared.settings.host.id.clone();
         let has_transport = self.transport.is_some();
         let is_probed = |h: &ListedHost| {
@@ -84,7 +84,7 @@
     }
 
     /// Takes what came from another host.
-    pub(crate) fn take_arrived(&mut self, arrived: Arrived) -> Option<Members> {
+    pub(crate) fn apply_arrived(&mut self, arrived: Arrived) -> Option<Members> {
         match arrived {
             Arrived::Heartbeat { from, heartbeat } => self.step(Input::Received { from, heartbeat }),
             // No question is known so far; dropping it ends the stream.
@@ -93,7 +93,7 @@
     }
 
     /// Tells the other hosts what this one holds and obeys.
-    pub(crate) fn tell_notes(&mut self, state: &NoteState) -> Option<Members> {
+    pub(crate) fn send_note_state(&mut self, state: &NoteState) -> Option<Members> {
         let notes = postcard::to_stdvec(state).unwrap_or_default();
         self.step(Input::Notes(notes))
     }
@@ -114,14 +114,14 @@
         if let Some(demand) = self.demand.end_period(&self.shared, now) {
             self.step(Input::Demand(demand));
         }
-        let left = match self.shared.is_draining() && !self.has_left {
+        let leave_change = match self.shared.is_draining() && !self.is_leave_announced {
             true => {
-                self.has_left = true;
+                self.is_leave_announced = true;
                 self.step(Input::Leave)
             }
             false => None,
         };
-        self.step(Input::Tick).or(left)
+        self.step(Input::Tick).or(leave_change)
     }
 
     fn step(&mut self, input: Input) -> Option<Members> {
@@ -143,7 +143,7 @@
                 }
                 Effect::ViewChanged => changed = true,
                 Effect::Log(event) => self.log(&event),
-                Effect::DemandReceived { from, demand } => self.demand.hear(from, &demand, now),
+                Effect::DemandReceived { from, demand } => self.demand.record_report(from, &demand, now),
                 Effect::NotesReceived {
                     from,
                     incarnation,
@@ -152,13 +152,13 @@
                     ..
                 } => {
                     if let Ok(state) = postcard::from_bytes(&notes) {
-                        let heard = HeardNotes {
+                        let peer_state = PeerNoteState {
                             from,
                             incarnation,
                             probe_sent,
                             state,
                         };
-                        let _ = self.told.try_send(heard);
+                        let _ = self.note_states.try_send(peer_state);
                     }
                 }
                 Effect::QuarantineReceived(_) => {}
@@ -247,7 +247,7 @@
 /// Hands ticks to the control loop.
 pub(crate) async fn tick(tx: async_channel::Sender<ControlInput>) {
     while tx.send(ControlInput::Tick).await.is_ok() {
-        smol::Timer::after(TICK).await;
+        smol::Timer::after(TICK_INTERVAL).await;
     }
 }
 
--- a/components/entry/src/control/poll.rs
+++ b/components/entry/src/control/poll.rs
@@ -27,7 +27,7 @@
     let interval = Duration::from_millis(shared.settings.platform.list_interval_ms);
     let mut backoff = Backoff::default();
     loop {
-        match health.note(platform.list().await) {
+        match health.record(platform.list().await) {
             Some(list) => {
                 backoff.succeed();
                 if tx.send(Input::List(list)).await.is_err() {
@@ -44,13 +44,12 @@
 
 /// Reads the load of every known engine again and again.
 pub(crate) async fn poll_loads(shared: Arc<Shared>, client: Client, ex: Executor, tx: Inputs) {
-    let mut running: HashMap<TargetId, smol::Task<()>> = HashMap::new();
+    let mut tasks: HashMap<TargetId, smol::Task<()>> = HashMap::new();
     loop {
         let view = shared.view.load_full();
-        running
-            .retain(|id, task| !task.is_finished() && view.placement.targets.values().any(|t| t.id == *id));
+        tasks.retain(|id, task| !task.is_finished() && view.placement.targets.values().any(|t| t.id == *id));
         for candidate in view.placement.targets.values() {
-            if !running.contains_key(&candidate.id) {
+            if !tasks.contains_key(&candidate.id) {
                 let engine = HttpEngine::new(client.clone(), candidate.address);
                 let task = ex.spawn(poll_load(
                     shared.clone(),
@@ -58,7 +57,7 @@
                     engine,
                     tx.clone(),
                 ));
-                running.insert(candidate.id.clone(), task);
+                tasks.insert(candidate.id.clone(), task);
             }
         }
         smol::Timer::after(LOAD_INTERVAL).await;
@@ -97,7 +96,7 @@
         }
     }
 
-    pub(crate) fn note<T>(&mut self, result: Result<T, Report<PlatformError>>) -> Option<T> {
+    pub(crate) fn record<T>(&mut self, result: Result<T, Report<PlatformError>>) -> Option<T> {
         match result {
             Ok(value) => {
                 if self.failing {
--- a/components/entry/src/control/roster.rs
+++ b/components/entry/src/control/roster.rs
@@ -15,20 +15,20 @@
 /// Key under which hosts are ranked for the work on the roster.
 const RANK_KEY: &[u8] = b"roster";
 /// Hosts that look at the roster; the others cause no reads for it.
-const KEEPERS: usize = 3;
+const MAINTAINERS: usize = 3;
 /// Time between two looks.
-const INTERVAL: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Time that a difference must last, and what each rank waits longer than the one before.
-const SETTLING: Duration = Duration::from_secs(2);
+const CHANGE_DELAY: Duration = Duration::from_secs(2);
 /// Longest wait for enough acknowledgements in one go; the next look goes on with the same change.
-const PATIENCE: Duration = Duration::from_secs(10);
+const ACCEPT_TIMEOUT: Duration = Duration::from_secs(10);
 /// Members from which on two of a region must hear each other to serve without the table service.
-const PAIR_FROM: usize = 3;
+const MIN_MEMBERS_FOR_PAIR: usize = 3;
 
 /// Keeps the roster equal to the hosts that run, so that they may serve while the table service is away.
 ///
 /// Without keys for heartbeats hosts can not hear each other; the roster stays empty then.
-pub(crate) async fn keep(shared: Arc<Shared>, platform: Arc<HttpPlatform>) {
+pub(crate) async fn maintain(shared: Arc<Shared>, platform: Arc<HttpPlatform>) {
     if shared.settings.peers == config::PeerSettings::default() {
         return std::future::pending().await;
     }
@@ -37,24 +37,24 @@
         store,
         clock: shared.clock.clone(),
     };
-    let mut keeper = Keeper {
+    let mut maintainer = RosterMaintainer {
         shared,
         operator,
         differs_since: None,
     };
     loop {
-        smol::Timer::after(jittered(INTERVAL)).await;
-        if let Err(e) = keeper.look().await {
-            keeper.differs_since = None;
+        smol::Timer::after(jittered(CHECK_INTERVAL)).await;
+        if let Err(e) = maintainer.check().await {
+            maintainer.differs_since = None;
             if !matches!(e.current_context(), NoteError::NoHead | NoteError::Platform(_)) {
-                warn!(keeper.shared.log, "roster not changed"; events::ROSTER_UNCHANGED, "reason" => %e.current_context());
+                warn!(maintainer.shared.log, "roster not changed"; events::ROSTER_UNCHANGED, "reason" => %e.current_context());
             }
         }
     }
 }
 
 /// Changes the roster when hosts come and go.
-struct Keeper {
+struct RosterMaintainer {
     /// State of all threads.
     shared: Arc<Shared>,
     /// Takes changes to acceptance.
@@ -63,21 +63,21 @@
     differs_since: Option<Monotonic>,
 }
 
-impl Keeper {
-    async fn look(&mut self) -> Result<(), Report<NoteError>> {
+impl RosterMaintainer {
+    async fn check(&mut self) -> Result<(), Report<NoteError>> {
         let Some(rank) = self.rank() else {
             return Ok(());
         };
         let head = self.operator.store.head().await?;
         let terms = self.operator.store.terms(head.row.terms).await?;
-        let wanted = rosters(&self.operator.store.hosts().await?, &|host| self.is_live(host));
-        if wanted == terms.regions {
+        let desired = desired_rosters(&self.operator.store.hosts().await?, &|host| self.is_live(host));
+        if desired == terms.regions {
             self.differs_since = None;
             return Ok(());
         }
         let now = self.shared.clock.now();
         let since = *self.differs_since.get_or_insert(now);
-        if now.saturating_sub(since) < SETTLING * (rank + 1) {
+        if now.saturating_sub(since) < CHANGE_DELAY * (rank + 1) {
             return Ok(());
         }
         match &head.row.staged {
@@ -85,7 +85,7 @@
                 self.propose(
                     head,
                     Terms {
-                        regions: wanted,
+                        regions: desired,
                         ..terms
                     },
                 )
@@ -108,7 +108,7 @@
 
     async fn accept(&mut self, head: Head) -> Result<(), Report<NoteError>> {
         let base = self.operator.store.declared(&head.row, None).await?;
-        match self.operator.accept(head, &base, PATIENCE, |_| {}).await? {
+        match self.operator.accept(head, &base, ACCEPT_TIMEOUT, |_| {}).await? {
             Acceptance::InForce(head) => {
                 self.differs_since = None;
                 info!(self.shared.log, "roster changed"; events::ROSTER_CHANGED, "change" => head.row.seq);
@@ -130,8 +130,8 @@
         let live = self.shared.live_hosts.load();
         let ranked = rendezvous_order(RANK_KEY, live.iter().map(|host| &**host));
         let own = &*self.shared.settings.host.id;
-        let place = ranked.iter().take(KEEPERS).position(|host| *host == own)?;
-        u32::try_from(place).ok()
+        let position = ranked.iter().take(MAINTAINERS).position(|host| *host == own)?;
+        u32::try_from(position).ok()
     }
 
     fn is_live(&self, host: &HostId) -> bool {
@@ -140,14 +140,18 @@
 }
 
 /// The rosters that the registered runs of live hosts make up.
-fn rosters(rows: &[HostRow], is_live: &dyn Fn(&HostId) -> bool) -> BTreeMap<RegionId, RegionRoster> {
+fn desired_rosters(rows: &[HostRow], is_live: &dyn Fn(&HostId) -> bool) -> BTreeMap<RegionId, RegionRoster> {
     let mut regions: BTreeMap<RegionId, RegionRoster> = BTreeMap::new();
     for row in rows.iter().filter(|row| !row.is_stopped && is_live(&row.host)) {
         let roster = regions.entry(row.region.clone()).or_default();
         roster.members.insert(row.host.clone(), row.incarnation);
     }
     for roster in regions.values_mut() {
-        roster.serving = if roster.members.len() >= PAIR_FROM { 2 } else { 1 };
+        roster.serving = if roster.members.len() >= MIN_MEMBERS_FOR_PAIR {
+            2
+        } else {
+            1
+        };
     }
     regions
 }
@@ -178,7 +182,7 @@
             row("b-1", "b", false),
             row("b-2", "b", false),
         ];
-        let regions = rosters(&rows, &|host| &**host != "b-2");
+        let regions = desired_rosters(&rows, &|host| &**host != "b-2");
         let names = |region: &str| {
             regions[region]
                 .members
--- a/components/entry/src/control/state.rs
+++ b/components/entry/src/control/state.rs
@@ -12,15 +12,15 @@
 
 use super::kept::{KeptCache, Prefilled};
 use super::peers::{Members, PeerControl};
-use super::watch::CacheNews;
+use super::watch::CacheUpdate;
 use crate::observe::Observation;
 use crate::shared::Shared;
 use crate::view::{ServiceTarget, View};
 
 /// Load reports missed in a row after which a target counts as suspect.
-const MISSED_REPORTS: u32 = 3;
+const MISSED_REPORTS_BEFORE_SUSPECT: u32 = 3;
 
-/// News for the control state.
+/// TableCommand for the control state.
 #[derive(Debug)]
 pub(crate) enum Input {
     /// The platform's list.
@@ -28,12 +28,12 @@
     /// What must be obeyed; the loop publishes it at once and then says so.
     Notes {
         /// What must be obeyed.
-        obeyed: EnforcedNotes,
+        enforced: EnforcedNotes,
         /// Told once the view is published.
         done: async_channel::Sender<()>,
     },
     /// What a target or a store says about its pieces.
-    Cache(TargetId, CacheNews),
+    Cache(TargetId, CacheUpdate),
     /// A target's load, or `None` if it did not answer.
     Load(TargetId, Option<LoadReport>),
     /// Something came from another entry host.
@@ -53,13 +53,13 @@
     /// Targets that did not answer lately.
     suspects: BTreeSet<TargetId>,
     /// What must be obeyed.
-    obeyed: EnforcedNotes,
+    enforced: EnforcedNotes,
     /// Engines; keys stay the same while an engine is listed.
     engines: PlacementView,
     /// Keys of the engines by name.
     keys_by_id: BTreeMap<TargetId, CandidateKey>,
     /// Reports missed in a row.
-    missed: BTreeMap<TargetId, u32>,
+    missed_reports: BTreeMap<TargetId, u32>,
     /// Where pieces are kept.
     kept: KeptCache,
 }
@@ -71,10 +71,10 @@
             peers,
             list: Vec::new(),
             suspects: BTreeSet::new(),
-            obeyed: EnforcedNotes::default(),
+            enforced: EnforcedNotes::default(),
             engines: PlacementView::default(),
             keys_by_id: BTreeMap::new(),
-            missed: BTreeMap::new(),
+            missed_reports: BTreeMap::new(),
             kept,
         }
     }
@@ -83,37 +83,37 @@
     pub(crate) fn apply(&mut self, input: Input) {
         match input {
             Input::List(list) => {
-                let members = self.peers.take_list(list);
-                self.take_members(members);
+                let members = self.peers.apply_list(list);
+                self.apply_members(members);
             }
-            Input::Notes { obeyed, .. } => self.take_notes(obeyed),
-            Input::Cache(id, news) => self.take_cache(&id, news),
+            Input::Notes { enforced, .. } => self.apply_notes(enforced),
+            Input::Cache(id, update) => self.apply_cache_update(&id, update),
             Input::Load(id, report) => {
                 let members = self.peers.observe(&id, report.is_some());
-                self.take_members(members);
-                self.take_load(&id, report);
+                self.apply_members(members);
+                self.apply_load(&id, report);
             }
             Input::Arrived(arrived) => {
-                let members = self.peers.take_arrived(arrived);
-                self.take_members(members);
+                let members = self.peers.apply_arrived(arrived);
+                self.apply_members(members);
             }
             Input::Tick => {
                 let members = self.peers.tick();
-                self.take_members(members);
+                self.apply_members(members);
             }
         }
     }
 
     /// Takes what changed among hosts and targets.
-    fn take_members(&mut self, members: Option<Members>) {
+    fn apply_members(&mut self, members: Option<Members>) {
         let Some(members) = members else {
             return;
         };
         self.suspects = members.suspects;
-        self.take_list(members.list);
+        self.apply_list(members.list);
         for candidate in self.engines.targets.values_mut() {
             if self.suspects.contains(&candidate.id) {
-                candidate.state = suspect(candidate.state);
+                candidate.state = as_suspect(candidate.state);
             }
         }
     }
@@ -140,11 +140,12 @@
                     weight_version: *weight_version,
                     pieces,
                 };
-                self.kept.prefilled(&prompt, &self.engines, now);
+                self.kept.record_prefill(&prompt, &self.engines, now);
             }
-            Observation::FetchStarted { store } => self.kept.fetch_started(*store, &self.engines, now),
+            Observation::FetchStarted { store } => self.kept.record_fetch_start(*store, &self.engines, now),
             Observation::FetchEnded { store, is_complete } => {
-                self.kept.fetch_ended(*store, *is_complete, &self.engines, now);
+                self.kept
+                    .record_fetch_end(*store, *is_complete, &self.engines, now);
             }
             Observation::Ended { key } => {
                 if let Some(candidate) = self.engines.targets.get_mut(*key) {
@@ -155,53 +156,53 @@
                 if let Some(candidate) = self.engines.targets.get_mut(*key)
                     && *failure == TargetError::NotSent
                 {
-                    candidate.state = suspect(candidate.state);
+                    candidate.state = as_suspect(candidate.state);
                 }
             }
         }
     }
 
-    fn take_list(&mut self, list: Vec<ListedHost>) {
+    fn apply_list(&mut self, list: Vec<ListedHost>) {
         if list == self.list {
             return;
         }
         info!(self.shared.log, "list changed"; events::LIST_READ, "entries" => list.len());
         let listed = |id: &TargetId| list.iter().any(|h| h.role == HostRole::Engine && h.id == *id);
-        let gone: Vec<_> = self.keys_by_id.keys().filter(|id| !listed(id)).cloned().collect();
-        for id in gone {
+        let removed: Vec<_> = self.keys_by_id.keys().filter(|id| !listed(id)).cloned().collect();
+        for id in removed {
             if let Some(key) = self.keys_by_id.remove(&id) {
                 self.engines.targets.remove(key);
                 self.kept.remove_target(key);
             }
         }
         for host in list.iter().filter(|h| h.role == HostRole::Engine) {
-            self.take_engine(host);
+            self.apply_engine(host);
         }
         let stores = list.iter().filter(|h| h.role == HostRole::Store);
-        self.kept.take_stores(stores, &mut self.engines);
+        self.kept.apply_stores(stores, &mut self.engines);
         let live = list.iter().filter(|h| h.role == HostRole::Entry);
         let live = live.map(|h| h.id.clone()).collect();
         self.shared.live_hosts.store(Arc::new(live));
         self.list = list;
     }
 
-    fn take_cache(&mut self, id: &TargetId, news: CacheNews) {
+    fn apply_cache_update(&mut self, id: &TargetId, update: CacheUpdate) {
         match self.keys_by_id.get(id) {
-            Some(key) => self.kept.take_target(*key, &news),
-            None => self.kept.take_store(id, news, &mut self.engines),
+            Some(key) => self.kept.apply_target_update(*key, &update),
+            None => self.kept.apply_store_update(id, update, &mut self.engines),
         }
     }
 
-    fn take_engine(&mut self, host: &ListedHost) {
+    fn apply_engine(&mut self, host: &ListedHost) {
         let state = match host.state {
             HostState::Live => TargetState::Live,
             HostState::Leaving => TargetState::Leaving,
         };
-        let known = self
+        let existing = self
             .keys_by_id
             .get(&host.id)
             .and_then(|key| self.engines.targets.get_mut(*key));
-        match known {
+        match existing {
             Some(candidate) => {
                 candidate.address = host.address;
                 candidate.state = state;
@@ -214,17 +215,17 @@
     }
 
     /// Takes what must be obeyed from now on.
-    pub(crate) fn take_notes(&mut self, obeyed: EnforcedNotes) {
-        self.obeyed = obeyed;
+    pub(crate) fn apply_notes(&mut self, enforced: EnforcedNotes) {
+        self.enforced = enforced;
     }
 
     /// Tells the other hosts what the published view obeys.
-    pub(crate) fn tell_notes(&mut self) {
-        let members = self.peers.tell_notes(&self.obeyed.state());
-        self.take_members(members);
+    pub(crate) fn send_note_state(&mut self) {
+        let members = self.peers.send_note_state(&self.enforced.state());
+        self.apply_members(members);
     }
 
-    fn take_load(&mut self, id: &TargetId, report: Option<LoadReport>) {
+    fn apply_load(&mut self, id: &TargetId, report: Option<LoadReport>) {
         let Some(candidate) = self
             .keys_by_id
             .get(id)
@@ -233,14 +234,14 @@
             return;
         };
         let Some(report) = report else {
-            let missed = self.missed.entry(id.clone()).or_default();
+            let missed = self.missed_reports.entry(id.clone()).or_default();
             *missed += 1;
-            if *missed >= MISSED_REPORTS {
-                candidate.state = suspect(candidate.state);
+            if *missed >= MISSED_REPORTS_BEFORE_SUSPECT {
+                candidate.state = as_suspect(candidate.state);
             }
             return;
         };
-        self.missed.remove(id);
+        self.missed_reports.remove(id);
         if candidate.state == TargetState::Suspect && !self.suspects.contains(id) {
             candidate.state = TargetState::Live;
         }
@@ -260,8 +261,8 @@
         let services = self.list.iter().filter(|h| h.role == HostRole::Service);
         let entry_hosts = self.list.iter().filter(|h| h.role == HostRole::Entry).count();
         let view = View {
-            declared: self.obeyed.declared().clone(),
-            enforced: self.obeyed.clone(),
+            declared: self.enforced.declared().clone(),
+            enforced: self.enforced.clone(),
             placement: self.engines.clone(),
             services: services.map(service_target).collect(),
             entry_hosts: u32::try_from(entry_hosts).unwrap_or(u32::MAX),
@@ -270,7 +271,7 @@
     }
 }
 
-fn suspect(state: TargetState) -> TargetState {
+fn as_suspect(state: TargetState) -> TargetState {
     match state {
         TargetState::Leaving => TargetState::Leaving,
         TargetState::Live | TargetState::Suspect => TargetState::Suspect,
--- a/components/entry/src/control/suspects.rs
+++ b/components/entry/src/control/suspects.rs
@@ -28,7 +28,7 @@
 /// Most rows that a scan returns.
 const SCAN_ROWS: usize = 1_000;
 /// Time between two tries to write.
-const WRITE_RETRY: Duration = Duration::from_millis(50);
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// What the table holds about a request.
 #[derive(Debug, Clone)]
@@ -54,9 +54,9 @@
 type Claim = (TargetId, TryId, async_channel::Sender<bool>);
 
 /// Who waits for rows.
-type Done = async_channel::Sender<Vec<(Fingerprint, Suspicion)>>;
+type RowsSender = async_channel::Sender<Vec<(Fingerprint, Suspicion)>>;
 
-/// News that go into one transaction.
+/// TableCommand that go into one transaction.
 #[derive(Default)]
 struct Batch {
     /// Rows to merge.
@@ -64,7 +64,7 @@
     /// Rows to remove.
     removals: BTreeSet<Fingerprint>,
     /// Who waits.
-    waiting: Vec<Done>,
+    waiters: Vec<RowsSender>,
     /// Targets that are wanted.
     claims: Vec<Claim>,
     /// Targets that are given back.
@@ -80,14 +80,14 @@
 }
 
 impl Batch {
-    fn add(&mut self, news: TableCommand) {
-        match news {
+    fn add(&mut self, command: TableCommand) {
+        match command {
             TableCommand::Merge { rows, done } => {
                 for (request, suspicion) in rows {
                     self.removals.remove(&request);
                     self.merges.entry(request).or_default().merge(&suspicion);
                 }
-                self.waiting.push(done);
+                self.waiters.push(done);
             }
             TableCommand::Remove(request) => {
                 self.merges.remove(&request);
@@ -112,20 +112,21 @@
         shared: &Shared,
         table: &HttpPlatform,
     ) -> Result<Option<Written>, Report<PlatformError>> {
-        let mut keys: Vec<_> = self.merges.keys().map(key).collect();
-        let wanted = self.claims.iter().map(|(target, _, _)| target);
+        let mut keys: Vec<_> = self.merges.keys().map(suspect_key).collect();
+        let claimed = self.claims.iter().map(|(target, _, _)| target);
         let released = self.releases.iter().map(|(target, _)| target);
-        let targets: BTreeSet<_> = wanted.chain(released).cloned().collect();
+        let targets: BTreeSet<_> = claimed.chain(released).cloned().collect();
         keys.extend(targets.iter().map(target_key));
         let mut found = table.read(keys).await?.into_iter();
         let now = wall_seconds(shared);
         let mut tx = Transaction::default();
         let rows = self.add_merges(&mut tx, found.by_ref(), now);
-        let held = targets.into_iter().zip(found).collect();
-        let granted = self.add_claims(&mut tx, &held, now);
+        let target_rows = targets.into_iter().zip(found).collect();
+        let granted = self.add_claims(&mut tx, &target_rows, now);
         let removals = self.removals.iter();
-        tx.writes
-            .extend(removals.map(|request| Write::Delete { key: key(request) }));
+        tx.writes.extend(removals.map(|request| Write::Delete {
+            key: suspect_key(request),
+        }));
         if tx.writes.is_empty() {
             return Ok(Some(Written { rows, granted }));
         }
@@ -144,14 +145,18 @@
         let mut merged = Vec::new();
         for ((request, suspicion), row) in self.merges.iter().zip(found) {
             let mut suspicion = suspicion.clone();
-            if let Some(old) = row.as_ref().and_then(parse) {
+            if let Some(old) = row.as_ref().and_then(parse_suspect) {
                 suspicion.merge(&old.suspicion);
             }
             let value = SuspectRow {
                 suspicion: suspicion.clone(),
                 changed_at: now,
             };
-            *tx = std::mem::take(tx).put(key(request), expect(row.as_ref()), serde_json::json!(value));
+            *tx = std::mem::take(tx).put(
+                suspect_key(request),
+                expect(row.as_ref()),
+                serde_json::json!(value),
+            );
             merged.push((*request, suspicion));
         }
         merged
@@ -161,27 +166,31 @@
     fn add_claims(
         &self,
         tx: &mut Transaction,
-        held: &BTreeMap<TargetId, Option<Row>>,
+        target_rows: &BTreeMap<TargetId, Option<Row>>,
         now: u64,
     ) -> Vec<bool> {
-        let mut taken = BTreeSet::new();
+        let mut claimed_targets = BTreeSet::new();
         let mut granted = Vec::new();
         for (target, id, _) in &self.claims {
-            let row = held.get(target).and_then(Option::as_ref);
-            let is_free = !taken.contains(target) && self.is_free(target, row, id, now);
+            let row = target_rows.get(target).and_then(Option::as_ref);
+            let is_free = !claimed_targets.contains(target) && self.is_free(target, row, id, now);
             granted.push(is_free);
             if !is_free {
                 continue;
             }
-            taken.insert(target);
+            claimed_targets.insert(target);
             let value = TargetRow {
                 id: id.clone(),
                 claimed_at: now,
             };
             *tx = std::mem::take(tx).put(target_key(target), expect(row), serde_json::json!(value));
         }
-        for (target, id) in self.releases.iter().filter(|(target, _)| !taken.contains(target)) {
-            let row = held.get(target).and_then(Option::as_ref);
+        for (target, id) in self
+            .releases
+            .iter()
+            .filter(|(target, _)| !claimed_targets.contains(target))
+        {
+            let row = target_rows.get(target).and_then(Option::as_ref);
             if row.and_then(parse_target).is_some_and(|found| found.id == *id) {
                 let key = target_key(target);
                 tx.conditions.push(Condition {
@@ -208,36 +217,36 @@
 pub(crate) async fn write(
     shared: Arc<Shared>,
     table: Arc<HttpPlatform>,
-    news: async_channel::Receiver<TableCommand>,
+    commands: async_channel::Receiver<TableCommand>,
 ) {
     let mut health = Health::new(&shared, "suspects");
-    while let Ok(first) = news.recv().await {
+    while let Ok(first) = commands.recv().await {
         let mut batch = Batch::default();
         batch.add(first);
         loop {
             while !batch.is_full()
-                && let Ok(more) = news.try_recv()
+                && let Ok(more) = commands.try_recv()
             {
                 batch.add(more);
             }
-            if let Some(Some(written)) = health.note(batch.write(&shared, &table).await) {
-                finish(&shared, &batch, &written);
+            if let Some(Some(written)) = health.record(batch.write(&shared, &table).await) {
+                apply_written(&shared, &batch, &written);
                 break;
             }
-            smol::Timer::after(jittered(WRITE_RETRY)).await;
+            smol::Timer::after(jittered(WRITE_RETRY_DELAY)).await;
         }
     }
 }
 
-fn finish(shared: &Shared, batch: &Batch, written: &Written) {
+fn apply_written(shared: &Shared, batch: &Batch, written: &Written) {
     let now = shared.clock.now();
     for (request, suspicion) in &written.rows {
         shared.suspects.quarantine().merge(*request, suspicion, now);
     }
     for request in &batch.removals {
-        forget(shared, request);
+        clear_request(shared, request);
     }
-    for done in &batch.waiting {
+    for done in &batch.waiters {
         let _ = done.try_send(written.rows.clone());
     }
     for ((_, _, done), granted) in batch.claims.iter().zip(&written.granted) {
@@ -249,13 +258,13 @@
 pub(crate) async fn scan(shared: Arc<Shared>, table: Arc<HttpPlatform>) {
     let mut health = Health::new(&shared, "suspects");
     let interval = Duration::from_millis(shared.settings.platform.head_interval_ms);
-    let mut known = BTreeSet::new();
+    let mut cached = BTreeSet::new();
     loop {
-        if let Some(rows) = health.note(read_all(&table).await) {
-            known = take(&shared, &known, &rows);
-            let expired = expired(&shared, &rows);
+        if let Some(rows) = health.record(read_all(&table).await) {
+            cached = apply_rows(&shared, &cached, &rows);
+            let expired = expired_removals(&shared, &rows);
             if !expired.writes.is_empty() {
-                health.note(table.transact(expired).await);
+                health.record(table.transact(expired).await);
             }
         }
         smol::Timer::after(jittered(interval)).await;
@@ -280,33 +289,33 @@
 }
 
 /// Takes the rows and forgets those that are gone. Returns the requests that have rows.
-fn take(shared: &Shared, known: &BTreeSet<Fingerprint>, rows: &[Row]) -> BTreeSet<Fingerprint> {
+fn apply_rows(shared: &Shared, cached: &BTreeSet<Fingerprint>, rows: &[Row]) -> BTreeSet<Fingerprint> {
     let now = shared.clock.now();
     let mut found = BTreeSet::new();
     for row in rows {
         let request = row.key.strip_prefix(PREFIX).and_then(|text| text.parse().ok());
-        if let (Some(request), Some(row)) = (request, parse(row)) {
+        if let (Some(request), Some(row)) = (request, parse_suspect(row)) {
             shared.suspects.quarantine().merge(request, &row.suspicion, now);
             found.insert(request);
         }
     }
-    known
+    cached
         .difference(&found)
-        .for_each(|request| forget(shared, request));
+        .for_each(|request| clear_request(shared, request));
     found
 }
 
-fn forget(shared: &Shared, request: &Fingerprint) {
+fn clear_request(shared: &Shared, request: &Fingerprint) {
     shared.suspects.quarantine().forget(request);
     info!(shared.log, "request cleared"; events::REQUEST_CLEARED, "fingerprint" => %request);
 }
 
 /// Removes the rows that have not changed for long.
-fn expired(shared: &Shared, rows: &[Row]) -> Transaction {
+fn expired_removals(shared: &Shared, rows: &[Row]) -> Transaction {
     let now = wall_seconds(shared);
     let mut tx = Transaction::default();
     for row in rows {
-        let age = parse(row).map(|found| now.saturating_sub(found.changed_at));
+        let age = parse_suspect(row).map(|found| now.saturating_sub(found.changed_at));
         if age.is_none_or(|age| age < ROW_EXPIRY.as_secs()) {
             continue;
         }
@@ -320,7 +329,7 @@
     tx
 }
 
-fn parse(row: &Row) -> Option<SuspectRow> {
+fn parse_suspect(row: &Row) -> Option<SuspectRow> {
     serde_json::from_value(row.value.clone()).ok()
 }
 
@@ -336,7 +345,7 @@
     format!("{TARGET_PREFIX}{target}")
 }
 
-fn key(request: &Fingerprint) -> String {
+fn suspect_key(request: &Fingerprint) -> String {
     format!("{PREFIX}{request}")
 }
 
--- a/components/entry/src/control/watch.rs
+++ b/components/entry/src/control/watch.rs
@@ -16,11 +16,11 @@
 use crate::shared::Shared;
 
 /// Time between two reads of the cache events of a target, or of the changes of a store.
-const WATCH_INTERVAL: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What a target or a store says about its pieces.
 #[derive(Debug)]
-pub(crate) enum CacheNews {
+pub(crate) enum CacheUpdate {
     /// Changes of a target's cache.
     Events(CacheEvents),
     /// All of a target's cache.
@@ -49,18 +49,17 @@
 }
 
 /// Watches every known engine and store.
-pub(crate) async fn watch_caches(shared: Arc<Shared>, client: Client, ex: Executor, tx: Inputs) {
-    let mut running: HashMap<(TargetId, SocketAddr), smol::Task<()>> = HashMap::new();
+pub(crate) async fn poll_caches(shared: Arc<Shared>, client: Client, ex: Executor, tx: Inputs) {
+    let mut tasks: HashMap<(TargetId, SocketAddr), smol::Task<()>> = HashMap::new();
     loop {
         let view = shared.view.load_full();
         let engines = view.placement.targets.values().map(|t| (t.id.clone(), t.address));
         let stores = view.placement.stores.values().map(|s| (s.id.clone(), s.address));
         let (engines, stores): (Vec<_>, Vec<_>) = (engines.collect(), stores.collect());
-        running
-            .retain(|known, task| !task.is_finished() && (engines.contains(known) || stores.contains(known)));
+        tasks.retain(|key, task| !task.is_finished() && (engines.contains(key) || stores.contains(key)));
         for (id, address) in engines {
-            running.entry((id.clone(), address)).or_insert_with(|| {
-                ex.spawn(watch_engine(
+            tasks.entry((id.clone(), address)).or_insert_with(|| {
+                ex.spawn(poll_engine(
                     id,
                     HttpEngine::new(client.clone(), address),
                     tx.clone(),
@@ -68,29 +67,30 @@
             });
         }
         for (id, address) in stores {
-            running.entry((id.clone(), address)).or_insert_with(|| {
-                ex.spawn(watch_store(
+            tasks.entry((id.clone(), address)).or_insert_with(|| {
+                ex.spawn(poll_store(
                     id,
                     HttpStore::new(client.clone(), address),
                     tx.clone(),
                 ))
             });
         }
-        smol::Timer::after(WATCH_INTERVAL).await;
+        smol::Timer::after(POLL_INTERVAL).await;
     }
 }
 
 /// Reads the cache events of an engine; after a gap or a restart, all of its cache.
-async fn watch_engine(id: TargetId, engine: HttpEngine, tx: Inputs) {
+async fn poll_engine(id: TargetId, engine: HttpEngine, tx: Inputs) {
     let mut position: Option<(Incarnation, u64)> = None;
     loop {
         let next = position.map_or(0, |(_, next)| next);
         if let Ok(batch) = engine.cache_events(next).await {
-            let follows = position.is_some_and(|(run, next)| run == batch.incarnation && batch.first <= next);
+            let is_continuous =
+                position.is_some_and(|(run, next)| run == batch.incarnation && batch.first <= next);
             let end = batch.first + batch.events.len() as u64;
-            position = follows.then_some((batch.incarnation, end.max(next)));
+            position = is_continuous.then_some((batch.incarnation, end.max(next)));
             if tx
-                .send(Input::Cache(id.clone(), CacheNews::Events(batch)))
+                .send(Input::Cache(id.clone(), CacheUpdate::Events(batch)))
                 .await
                 .is_err()
             {
@@ -102,29 +102,29 @@
         {
             position = Some((snapshot.incarnation, snapshot.next));
             if tx
-                .send(Input::Cache(id.clone(), CacheNews::Snapshot(snapshot)))
+                .send(Input::Cache(id.clone(), CacheUpdate::Snapshot(snapshot)))
                 .await
                 .is_err()
             {
                 return;
             }
         }
-        smol::Timer::after(jittered(WATCH_INTERVAL)).await;
+        smol::Timer::after(jittered(POLL_INTERVAL)).await;
     }
 }
 
 /// Reads the changes of a store; after a restart, all of its content.
-async fn watch_store(id: TargetId, store: HttpStore, tx: Inputs) {
+async fn poll_store(id: TargetId, store: HttpStore, tx: Inputs) {
     let mut position: Option<(Incarnation, u64)> = None;
-    let mut knows_size = false;
+    let mut is_size_known = false;
     loop {
         let from = position.map_or(0, |(_, next)| next);
         if let Ok(catalogue) = store.catalogue(from).await {
-            let follows = position.is_none_or(|(run, _)| run == catalogue.incarnation);
-            position = follows.then_some((catalogue.incarnation, catalogue.next));
-            let sample = catalogue.stored.first().copied().filter(|_| !knows_size);
+            let is_continuous = position.is_none_or(|(run, _)| run == catalogue.incarnation);
+            position = is_continuous.then_some((catalogue.incarnation, catalogue.next));
+            let sample = catalogue.stored.first().copied().filter(|_| !is_size_known);
             if tx
-                .send(Input::Cache(id.clone(), CacheNews::Catalogue(from, catalogue)))
+                .send(Input::Cache(id.clone(), CacheUpdate::Catalogue(from, catalogue)))
                 .await
                 .is_err()
             {
@@ -133,13 +133,13 @@
             if let Some(piece) = sample
                 && let Ok(Some(manifest)) = store.manifest(piece).await
             {
-                knows_size = true;
+                is_size_known = true;
                 let _ = tx
-                    .send(Input::Cache(id.clone(), CacheNews::PieceBytes(manifest.bytes)))
+                    .send(Input::Cache(id.clone(), CacheUpdate::PieceBytes(manifest.bytes)))
                     .await;
             }
         }
-        smol::Timer::after(jittered(WATCH_INTERVAL)).await;
+        smol::Timer::after(jittered(POLL_INTERVAL)).await;
     }
 }
 
@@ -164,8 +164,8 @@
                 break;
             }
         }
-        let news = CacheNews::Exported(export.pieces);
-        if tx.send(Input::Cache(export.store_id, news)).await.is_err() {
+        let update = CacheUpdate::Exported(export.pieces);
+        if tx.send(Input::Cache(export.store_id, update)).await.is_err() {
             return;
         }
     }
--- a/components/entry/src/daemon.rs
+++ b/components/entry/src/daemon.rs
@@ -85,7 +85,7 @@
                 observations,
                 records,
                 writer,
-                news: commands,
+                table_commands: commands,
                 peers,
             };
             move || control::run(shared, operators, inputs, control_stopped, ex)
--- a/components/entry/tests/cache.rs
+++ b/components/entry/tests/cache.rs
@@ -4,23 +4,23 @@
 
 use std::time::{Duration, Instant};
 
-use common::{Caller, MILL_KEY, MODEL, World, WorldConfig, body};
+use common::{Caller, Cluster, ClusterConfig, MILL_KEY, MODEL, body};
 use directory::PIECE_BYTES;
 use smol::block_on;
 use standins::{Answer, Running, Store, StoreFaults};
 
 /// Longest wait for something that is done in the background.
-const PATIENCE: Duration = Duration::from_secs(10);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Pieces of the prompts here; an engine holds no more than one such prompt.
 const PIECES: usize = 3;
 
-fn world() -> World {
-    World::start(&WorldConfig {
+fn start_cluster() -> Cluster {
+    Cluster::start(&ClusterConfig {
         engines: 1,
         hosts: 1,
         cache_pieces: PIECES as u32,
-        ..WorldConfig::default()
+        ..ClusterConfig::default()
     })
 }
 
@@ -28,7 +28,7 @@
     format!("{number:08}").repeat(PIECES * PIECE_BYTES / 8) + "quote"
 }
 
-fn ask(caller: &Caller, number: usize) {
+fn send_prompt(caller: &Caller, number: usize) {
     let prompt = prompt(number);
     let streamed = block_on(caller.stream(&body(&prompt, 4), None));
     assert_eq!((streamed.status, streamed.outcome.as_str()), (200, "ran"));
@@ -38,41 +38,41 @@
 fn wait_until(what: &str, is_done: impl Fn() -> bool) {
     let began = Instant::now();
     while !is_done() {
-        assert!(began.elapsed() < PATIENCE, "{what}");
+        assert!(began.elapsed() < WAIT_TIMEOUT, "{what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 /// Sends one prompt until its pieces are on the store, then others until the engine has dropped them.
-fn keep_first_prompt(caller: &Caller, store: &Running<Store>) {
+fn store_first_prompt(caller: &Caller, store: &Running<Store>) {
     wait_until("the pieces are copied to the store", || {
-        ask(caller, 1);
+        send_prompt(caller, 1);
         store.state().record().stored >= PIECES as u64
     });
-    ask(caller, 2);
+    send_prompt(caller, 2);
 }
 
 #[test]
-fn a_prompt_that_returns_is_read_from_the_store() {
-    let world = world();
-    let store = world.add_store();
-    let caller = world.caller(0, MILL_KEY);
-    keep_first_prompt(&caller, &store);
+fn a_repeated_prompt_is_read_from_the_store() {
+    let cluster = start_cluster();
+    let store = cluster.add_store();
+    let caller = cluster.caller(0, MILL_KEY);
+    store_first_prompt(&caller, &store);
     wait_until("pieces are read back", || {
-        ask(&caller, 1);
-        ask(&caller, 2);
+        send_prompt(&caller, 1);
+        send_prompt(&caller, 2);
         store.state().record().bytes_out > 0
     });
     block_on(store.kill());
-    world.stop();
+    cluster.stop();
 }
 
 #[test]
-fn stores_that_fail_cost_no_answer() {
-    let world = world();
-    let store = world.add_store();
-    let caller = world.caller(0, MILL_KEY);
-    keep_first_prompt(&caller, &store);
+fn store_failures_do_not_fail_drafts() {
+    let cluster = start_cluster();
+    let store = cluster.add_store();
+    let caller = cluster.caller(0, MILL_KEY);
+    store_first_prompt(&caller, &store);
     for faults in [
         StoreFaults {
             full: true,
@@ -84,8 +84,8 @@
         },
     ] {
         store.state().set_faults(faults);
-        (1..6).for_each(|number| ask(&caller, number));
+        (1..6).for_each(|number| send_prompt(&caller, number));
     }
     block_on(store.kill());
-    world.stop();
+    cluster.stop();
 }
--- a/components/entry/tests/common/caller.rs
+++ b/components/entry/tests/common/caller.rs
@@ -16,7 +16,7 @@
 
 /// What a caller got from a stream.
 #[derive(Debug, Default)]
-pub struct Streamed {
+pub struct StreamResult {
     /// HTTP status.
     pub status: u16,
     /// The outcome header.
@@ -37,7 +37,7 @@
 
 /// What a caller got from a call.
 #[derive(Debug)]
-pub struct Answered {
+pub struct CallResult {
     /// HTTP status.
     pub status: u16,
     /// The outcome header.
@@ -65,7 +65,7 @@
     }
 
     /// Reads a streamed completion to its end.
-    pub async fn stream(&self, body: &serde_json::Value, last_id: Option<&str>) -> Streamed {
+    pub async fn stream(&self, body: &serde_json::Value, last_id: Option<&str>) -> StreamResult {
         self.stream_until(body, last_id, u32::MAX).await
     }
 
@@ -75,7 +75,7 @@
         body: &serde_json::Value,
         last_id: Option<&str>,
         tokens: u32,
-    ) -> Streamed {
+    ) -> StreamResult {
         let mut req = self.request(Method::POST, "/v1/completions");
         if let Some(id) = last_id {
             req = req.header("last-event-id", id);
@@ -86,13 +86,13 @@
             json_body(body)
         };
         let Ok(res) = self.client.send(self.addr, req.body(body).unwrap()).await else {
-            return Streamed::default();
+            return StreamResult::default();
         };
-        let mut streamed = Streamed {
+        let mut streamed = StreamResult {
             status: res.status().as_u16(),
             outcome: header(res.headers(), OUTCOME_HEADER),
             request_id: header(res.headers(), "laburnumtally-request-id"),
-            ..Streamed::default()
+            ..StreamResult::default()
         };
         if streamed.status != 200 {
             let bytes = read_limited(res.into_body(), MAX_ANSWER_BYTES).await.unwrap();
@@ -102,7 +102,7 @@
         let mut reader = SseReader::new(res.into_body());
         while streamed.tokens < tokens {
             match reader.next().await {
-                Ok(Some(event)) => streamed.take(&event),
+                Ok(Some(event)) => streamed.apply(&event),
                 Ok(None) | Err(_) => break,
             }
         }
@@ -110,7 +110,7 @@
     }
 
     /// Makes a call to the ledger.
-    pub async fn call(&self, path: &str, key: Option<&str>, body: &str) -> Answered {
+    pub async fn call(&self, path: &str, key: Option<&str>, body: &str) -> CallResult {
         let mut req = self.request(Method::POST, path);
         if let Some(key) = key {
             req = req.header("idempotency-key", key);
@@ -119,12 +119,12 @@
     }
 
     /// Sends any request.
-    pub async fn send(&self, req: Request<Body>) -> Answered {
+    pub async fn send(&self, req: Request<Body>) -> CallResult {
         let res = self.client.send(self.addr, req).await.unwrap();
         let status = res.status().as_u16();
         let outcome = header(res.headers(), OUTCOME_HEADER);
         let body = read_limited(res.into_body(), MAX_ANSWER_BYTES).await.unwrap();
-        Answered {
+        CallResult {
             status,
             outcome,
             body: String::from_utf8_lossy(&body).into_owned(),
@@ -142,8 +142,8 @@
     }
 }
 
-impl Streamed {
-    fn take(&mut self, event: &http_io::SseEvent) {
+impl StreamResult {
+    fn apply(&mut self, event: &http_io::SseEvent) {
         if event.data == "[DONE]" {
             self.done = true;
             return;
--- a/components/entry/tests/common/mod.rs
+++ b/components/entry/tests/common/mod.rs
@@ -33,12 +33,12 @@
 pub const LEDGER: &str = "ledger";
 
 /// Longest wait of a caller; longer than any wait of a host.
-const CALLER_PATIENCE: Duration = Duration::from_secs(20);
+const CALLER_TIMEOUT: Duration = Duration::from_secs(20);
 /// Longest wait for a note to come into force.
-const PATIENCE: Duration = Duration::from_secs(15);
+const NOTE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// How a world is built.
-pub struct WorldConfig {
+pub struct ClusterConfig {
     /// Engines.
     pub engines: usize,
     /// Engines that the platform lists from the start, if not all.
@@ -53,7 +53,7 @@
     pub cache_pieces: u32,
 }
 
-impl Default for WorldConfig {
+impl Default for ClusterConfig {
     fn default() -> Self {
         Self {
             engines: 2,
@@ -67,7 +67,7 @@
 }
 
 /// A running deployment.
-pub struct World {
+pub struct Cluster {
     /// Runs the stand-ins and the callers.
     ex: Executor,
     /// The platform.
@@ -84,9 +84,9 @@
     thread: std::thread::JoinHandle<()>,
 }
 
-impl World {
+impl Cluster {
     /// Starts everything, declares one model and one service, and waits until every host is ready.
-    pub fn start(cfg: &WorldConfig) -> Self {
+    pub fn start(cfg: &ClusterConfig) -> Self {
         let ex: Executor = Arc::new(smol::Executor::new());
         let (stop, stopped) = async_channel::bounded::<()>(1);
         let thread = std::thread::spawn({
@@ -116,7 +116,7 @@
         let hosts = (0..cfg.hosts)
             .map(|i| start_host(i, platform.addr(), cfg))
             .collect();
-        let world = Self {
+        let cluster = Self {
             ex,
             platform,
             engines,
@@ -125,9 +125,9 @@
             stop,
             thread,
         };
-        world.declare(&declared(1));
-        world.wait_until_ready();
-        world
+        cluster.declare(&declared(1));
+        cluster.wait_until_ready();
+        cluster
     }
 
     /// Where the notes are.
@@ -145,7 +145,7 @@
         };
         let id = format!("note-{}", declared.version);
         let terms = Terms::default();
-        let accepted = smol::block_on(operator.declare(id, &terms, declared, PATIENCE)).unwrap();
+        let accepted = smol::block_on(operator.declare(id, &terms, declared, NOTE_TIMEOUT)).unwrap();
         assert!(matches!(accepted, Acceptance::InForce(_)));
     }
 
@@ -160,8 +160,8 @@
     /// A caller at a host.
     pub fn caller(&self, host: usize, api_key: &str) -> Caller {
         let cfg = ClientConfig {
-            connect_timeout: CALLER_PATIENCE,
-            response_timeout: CALLER_PATIENCE,
+            connect_timeout: CALLER_TIMEOUT,
+            response_timeout: CALLER_TIMEOUT,
             ..ClientConfig::default()
         };
         let client = Client::new(self.ex.clone(), cfg);
@@ -239,7 +239,7 @@
     ([127, 0, 0, 1], 0).into()
 }
 
-fn start_engine(ex: &Executor, i: usize, cfg: &WorldConfig) -> Running<Engine> {
+fn start_engine(ex: &Executor, i: usize, cfg: &ClusterConfig) -> Running<Engine> {
     let engine = EngineConfig {
         id: format!("engine-{i}").into(),
         models: vec![(MODEL.into(), 1)],
@@ -251,7 +251,7 @@
     Engine::start(ex, loopback(), engine).unwrap()
 }
 
-fn start_host(i: usize, platform: SocketAddr, cfg: &WorldConfig) -> Daemon {
+fn start_host(i: usize, platform: SocketAddr, cfg: &ClusterConfig) -> Daemon {
     Daemon::start(
         settings(i, platform, cfg.progress),
         slog::Logger::root(slog::Discard, slog::o!()),
@@ -260,8 +260,8 @@
 }
 
 /// Starts a host with keys from `dir` for the other hosts, and lists it.
-pub fn start_with_keys(world: &World, dir: &std::path::Path, i: usize, log: slog::Logger) -> Daemon {
-    let mut settings = settings(i, world.platform.addr(), Duration::from_millis(400));
+pub fn start_with_keys(cluster: &Cluster, dir: &std::path::Path, i: usize, log: slog::Logger) -> Daemon {
+    let mut settings = settings(i, cluster.platform.addr(), Duration::from_millis(400));
     let id = settings.host.id.clone();
     settings.peers = PeerSettings {
         authority: Some(dir.join("authority.pem")),
@@ -274,12 +274,12 @@
         serves: Vec::new(),
         ..listed(&id, HostRole::Entry, daemon.addresses().callers, "")
     };
-    world.platform.state().set_host(entry);
+    cluster.platform.state().set_host(entry);
     daemon
 }
 
 /// Waits until something holds.
-pub fn until(what: &str, holds: impl Fn() -> bool) {
+pub fn wait_until(what: &str, holds: impl Fn() -> bool) {
     for _ in 0..1_200 {
         if holds() {
             return;
--- a/components/entry/tests/faults.rs
+++ b/components/entry/tests/faults.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Caller, MILL_KEY, MODEL, World, WorldConfig, body};
+use common::{Caller, Cluster, ClusterConfig, MILL_KEY, MODEL, body};
 use futures_lite::StreamExt;
 use smol::block_on;
 use standins::{Answer, EngineFaults, Odds};
@@ -11,11 +11,11 @@
 /// Drafts sent under each pair of faults.
 const DRAFTS: usize = 24;
 /// Drafts open at once.
-const AT_ONCE: usize = 8;
+const MAX_CONCURRENT: usize = 8;
 /// Tokens of each answer.
 const TOKENS: u32 = 25;
 /// Share of drafts that a fault hits.
-const SHARE: f64 = 0.25;
+const FAULT_SHARE: f64 = 0.25;
 
 /// A fault of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -29,7 +29,7 @@
     Crash,
 }
 
-const ALL: [Fault; 7] = [
+const ALL_FAULTS: [Fault; 7] = [
     Fault::Late,
     Fault::Crossed,
     Fault::CutShort,
@@ -41,7 +41,7 @@
 
 impl Fault {
     fn set(self, faults: &mut EngineFaults) {
-        let odds = Odds::share(SHARE);
+        let odds = Odds::share(FAULT_SHARE);
         match self {
             Self::Late => (faults.late, faults.late_ms) = (odds, 300),
             Self::Crossed => faults.cross_answers = odds,
@@ -53,11 +53,11 @@
     }
 
     /// Hits one engine in the middle of the run.
-    async fn strike(self, world: &World) {
+    async fn inject(self, cluster: &Cluster) {
         smol::Timer::after(Duration::from_millis(30)).await;
         match self {
-            Self::Silent => world.engines[0].silence(),
-            Self::Crash => world.engines[1].crash(),
+            Self::Silent => cluster.engines[0].silence(),
+            Self::Crash => cluster.engines[1].crash(),
             _ => {}
         }
     }
@@ -71,22 +71,22 @@
     refused: usize,
 }
 
-async fn one(world: &World, caller: &Caller, prompt: String) -> (usize, usize, usize) {
+async fn check_draft(cluster: &Cluster, caller: &Caller, prompt: String) -> (usize, usize, usize) {
     let streamed = caller.stream(&body(&prompt, TOKENS), None).await;
-    let right = Answer::new(MODEL, 1, &prompt);
+    let expected = Answer::new(MODEL, 1, &prompt);
     assert!(
-        right.text(TOKENS).starts_with(&streamed.text),
+        expected.text(TOKENS).starts_with(&streamed.text),
         "wrong text for {prompt}"
     );
     if streamed.done {
-        assert_eq!(streamed.text, right.text(TOKENS), "{prompt}");
+        assert_eq!(streamed.text, expected.text(TOKENS), "{prompt}");
         return (1, 0, 0);
     }
     let problem = streamed
         .problem
         .unwrap_or_else(|| panic!("{prompt} ended without a word"));
     let digest = utils::digest(prompt.as_bytes());
-    let ran = world
+    let ran = cluster
         .engines
         .iter()
         .any(|e| e.state().record().drafts.iter().any(|d| d.prompt == digest));
@@ -97,13 +97,13 @@
     (0, 1, 0)
 }
 
-async fn all(world: &World, pair: (Fault, Fault)) -> Counts {
-    let caller = world.caller(0, MILL_KEY);
+async fn check_drafts(cluster: &Cluster, pair: (Fault, Fault)) -> Counts {
+    let caller = cluster.caller(0, MILL_KEY);
     let mut counts = Counts::default();
     let mut drafts = futures_lite::stream::iter(0..DRAFTS);
     while let Some(first) = drafts.next().await {
         let mut batch = vec![first];
-        while batch.len() < AT_ONCE
+        while batch.len() < MAX_CONCURRENT
             && let Some(next) = drafts.next().await
         {
             batch.push(next);
@@ -112,7 +112,7 @@
         let caller = &caller;
         let tasks: Vec<_> = batch
             .iter()
-            .map(|n| ex.spawn(one(world, caller, format!("{pair:?} draft {n}"))))
+            .map(|n| ex.spawn(check_draft(cluster, caller, format!("{pair:?} draft {n}"))))
             .collect();
         ex.run(async {
             for task in tasks {
@@ -128,34 +128,37 @@
 }
 
 #[test]
-fn every_pair_of_engine_faults_leaves_whole_answers_or_true_problems() {
-    let cfg = WorldConfig {
+fn every_pair_of_engine_faults_gives_whole_answers_or_correct_problems() {
+    let cfg = ClusterConfig {
         hosts: 1,
         engines: 3,
         progress: Duration::from_millis(100),
-        ..WorldConfig::default()
+        ..ClusterConfig::default()
     };
     let mut total = Counts::default();
-    for (i, first) in ALL.into_iter().enumerate() {
-        for second in ALL.into_iter().skip(i) {
-            let world = World::start(&cfg);
+    for (i, first) in ALL_FAULTS.into_iter().enumerate() {
+        for second in ALL_FAULTS.into_iter().skip(i) {
+            let cluster = Cluster::start(&cfg);
             let mut faults = EngineFaults::default();
             first.set(&mut faults);
             second.set(&mut faults);
-            world
+            cluster
                 .engines
                 .iter()
                 .for_each(|e| e.state().set_faults(faults.clone()));
-            let strikes = async {
-                first.strike(&world).await;
-                second.strike(&world).await;
+            let injection = async {
+                first.inject(&cluster).await;
+                second.inject(&cluster).await;
             };
-            let (counts, ()) = block_on(futures_lite::future::zip(all(&world, (first, second)), strikes));
+            let (counts, ()) = block_on(futures_lite::future::zip(
+                check_drafts(&cluster, (first, second)),
+                injection,
+            ));
             println!("{first:?} with {second:?}: {counts:?}");
             total.whole += counts.whole;
             total.cut += counts.cut;
             total.refused += counts.refused;
-            world.stop();
+            cluster.stop();
         }
     }
     println!("in all: {total:?}");
--- a/components/entry/tests/heartbeats.rs
+++ b/components/entry/tests/heartbeats.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use common::{World, WorldConfig, start_with_keys, until};
+use common::{Cluster, ClusterConfig, start_with_keys, wait_until};
 use entry::Daemon;
 use slog::{Drain, KV, Never, OwnedKVList, Record, Serializer};
 
@@ -13,7 +13,7 @@
 type Events = Arc<Mutex<Vec<String>>>;
 
 /// Keeps the events of a host.
-struct Keep(Events);
+struct EventRecorder(Events);
 
 /// Joins the values of a line.
 struct Values(Vec<String>);
@@ -25,7 +25,7 @@
     }
 }
 
-impl Drain for Keep {
+impl Drain for EventRecorder {
     type Ok = ();
     type Err = Never;
 
@@ -37,13 +37,13 @@
     }
 }
 
-fn start(world: &World, dir: &std::path::Path, i: usize) -> (Daemon, Events) {
+fn start(cluster: &Cluster, dir: &std::path::Path, i: usize) -> (Daemon, Events) {
     let events = Events::default();
-    let log = slog::Logger::root(Keep(events.clone()), slog::o!());
-    (start_with_keys(world, dir, i, log), events)
+    let log = slog::Logger::root(EventRecorder(events.clone()), slog::o!());
+    (start_with_keys(cluster, dir, i, log), events)
 }
 
-fn has(events: &Events, name: &str, peer: &str) -> bool {
+fn has_event(events: &Events, name: &str, peer: &str) -> bool {
     let events = events.lock().unwrap();
     events
         .iter()
@@ -51,31 +51,35 @@
 }
 
 #[test]
-fn a_killed_host_is_noticed_and_comes_back() {
+fn a_killed_host_is_detected_and_can_rejoin() {
     let dir = tempfile::tempdir().unwrap();
     let names: Vec<_> = (0..4).map(|i| format!("entry-{i}").into()).collect();
     peers::write_keys(dir.path(), &names).unwrap();
-    let world = World::start(&WorldConfig {
+    let cluster = Cluster::start(&ClusterConfig {
         hosts: 0,
-        ..WorldConfig::default()
+        ..ClusterConfig::default()
     });
-    let mut hosts: Vec<_> = (0..4).map(|i| start(&world, dir.path(), i)).collect();
+    let mut hosts: Vec<_> = (0..4).map(|i| start(&cluster, dir.path(), i)).collect();
     std::thread::sleep(Duration::from_secs(5));
-    assert!(hosts.iter().all(|(_, events)| !has(events, "peer_suspected", "")));
+    assert!(
+        hosts
+            .iter()
+            .all(|(_, events)| !has_event(events, "peer_suspected", ""))
+    );
 
     let (killed, _) = hosts.pop().unwrap();
     killed.abort().unwrap();
-    until("noticed", || {
+    wait_until("noticed", || {
         hosts
             .iter()
-            .any(|(_, events)| has(events, "peer_dead", "entry-3"))
+            .any(|(_, events)| has_event(events, "peer_dead", "entry-3"))
     });
-    let (again, events) = start(&world, dir.path(), 3);
+    let (restarted, events) = start(&cluster, dir.path(), 3);
     std::thread::sleep(Duration::from_secs(3));
-    assert!(!has(&events, "isolated", ""));
-    again.drain().unwrap();
+    assert!(!has_event(&events, "isolated", ""));
+    restarted.drain().unwrap();
     for (host, _) in hosts {
         host.drain().unwrap();
     }
-    world.stop();
+    cluster.stop();
 }
--- a/components/entry/tests/members.rs
+++ b/components/entry/tests/members.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{MILL_KEY, World, WorldConfig, body};
+use common::{Cluster, ClusterConfig, MILL_KEY, body};
 use metadata::{HostRole, HostState};
 use smol::block_on;
 
@@ -12,13 +12,13 @@
 const LEAVING_BOUND: Duration = Duration::from_secs(3);
 
 #[test]
-fn an_emptied_list_empties_no_pool() {
-    let world = World::start(&WorldConfig::default());
+fn an_empty_list_does_not_remove_targets() {
+    let cluster = Cluster::start(&ClusterConfig::default());
     for id in ["engine-0", "engine-1", "ledger-0"] {
-        world.platform.state().remove_host(id);
+        cluster.platform.state().remove_host(id);
     }
     std::thread::sleep(Duration::from_millis(500));
-    let caller = world.caller(0, MILL_KEY);
+    let caller = cluster.caller(0, MILL_KEY);
     for i in 0..4 {
         let streamed = block_on(caller.stream(&body(&format!("prompt {i}"), 3), None));
         assert_eq!(streamed.status, 200);
@@ -26,27 +26,27 @@
     }
     let answered = block_on(caller.call("/v1/services/ledger/grants", Some("key-1"), "{}"));
     assert_eq!(answered.status, 201);
-    world.stop();
+    cluster.stop();
 }
 
 #[test]
 fn a_leaving_target_gets_no_new_work_within_its_bound() {
-    let world = World::start(&WorldConfig::default());
+    let cluster = Cluster::start(&ClusterConfig::default());
     let mut leaving = common::listed(
         "engine-0",
         HostRole::Engine,
-        world.engines[0].addr(),
+        cluster.engines[0].addr(),
         common::MODEL,
     );
     leaving.state = HostState::Leaving;
-    world.platform.state().set_host(leaving);
+    cluster.platform.state().set_host(leaving);
     std::thread::sleep(LEAVING_BOUND);
-    let before = world.engines[0].state().record().drafts.len();
-    let caller = world.caller(1, MILL_KEY);
+    let before = cluster.engines[0].state().record().drafts.len();
+    let caller = cluster.caller(1, MILL_KEY);
     for i in 0..20 {
         let streamed = block_on(caller.stream(&body(&format!("prompt {i}"), 2), None));
         assert!(streamed.done);
     }
-    assert_eq!(world.engines[0].state().record().drafts.len(), before);
-    world.stop();
+    assert_eq!(cluster.engines[0].state().record().drafts.len(), before);
+    cluster.stop();
 }
--- a/components/entry/tests/outage.rs
+++ b/components/entry/tests/outage.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use common::{Caller, MILL_KEY, MODEL, World, WorldConfig, body, declared, start_with_keys, until};
+use common::{Caller, Cluster, ClusterConfig, MILL_KEY, MODEL, body, declared, start_with_keys, wait_until};
 use entry::Daemon;
 use smol::block_on;
 use standins::{Answer, PlatformFaults};
@@ -15,17 +15,17 @@
 /// Hosts of the region.
 const HOSTS: usize = 3;
 
-fn start(world: &World, dir: &Path, i: usize) -> Daemon {
-    start_with_keys(world, dir, i, slog::Logger::root(slog::Discard, slog::o!()))
+fn start(cluster: &Cluster, dir: &Path, i: usize) -> Daemon {
+    start_with_keys(cluster, dir, i, slog::Logger::root(slog::Discard, slog::o!()))
 }
 
-fn ask(caller: &Caller, prompt: &str) -> common::caller::Streamed {
+fn send_prompt(caller: &Caller, prompt: &str) -> common::caller::StreamResult {
     block_on(caller.stream(&body(prompt, 5), None))
 }
 
 /// Hosts in the roster that is in force.
-fn roster(world: &World) -> usize {
-    let store = world.notes();
+fn roster(cluster: &Cluster) -> usize {
+    let store = cluster.notes();
     let terms = block_on(async { store.terms(store.head().await.unwrap().row.terms).await });
     terms.map_or(0, |terms| {
         terms.regions.values().map(|region| region.members.len()).sum()
@@ -37,20 +37,20 @@
     let dir = tempfile::tempdir().unwrap();
     let names: Vec<_> = (0..HOSTS).map(|i| format!("entry-{i}").into()).collect();
     peers::write_keys(dir.path(), &names).unwrap();
-    let mut world = World::start(&WorldConfig {
+    let mut cluster = Cluster::start(&ClusterConfig {
         hosts: 0,
-        ..WorldConfig::default()
+        ..ClusterConfig::default()
     });
-    world.hosts = (0..HOSTS).map(|i| start(&world, dir.path(), i)).collect();
-    let callers: Vec<_> = (0..HOSTS).map(|i| world.caller(i, MILL_KEY)).collect();
-    until("a full roster", || roster(&world) == HOSTS);
+    cluster.hosts = (0..HOSTS).map(|i| start(&cluster, dir.path(), i)).collect();
+    let callers: Vec<_> = (0..HOSTS).map(|i| cluster.caller(i, MILL_KEY)).collect();
+    wait_until("a full roster", || roster(&cluster) == HOSTS);
     // Every host reads the head that names the roster; until then it serves by its reads alone.
     std::thread::sleep(Duration::from_millis(500));
-    until("all ready", || {
-        callers.iter().all(|c| ask(c, "warm up").status == 200)
+    wait_until("all ready", || {
+        callers.iter().all(|c| send_prompt(c, "warm up").status == 200)
     });
 
-    world.platform.state().set_faults(PlatformFaults {
+    cluster.platform.state().set_faults(PlatformFaults {
         down: true,
         ..PlatformFaults::default()
     });
@@ -59,7 +59,7 @@
     while began.elapsed() < OUTAGE {
         for (i, caller) in callers.iter().enumerate() {
             let prompt = format!("draft {served}");
-            let streamed = ask(caller, &prompt);
+            let streamed = send_prompt(caller, &prompt);
             assert_eq!(
                 streamed.status,
                 200,
@@ -75,12 +75,12 @@
     let call = block_on(callers[0].call("/v1/services/ledger/grants", Some("grant-1"), "plaza"));
     assert_eq!((call.status, call.outcome.as_str()), (503, "not-run"));
 
-    world.platform.state().set_faults(PlatformFaults::default());
+    cluster.platform.state().set_faults(PlatformFaults::default());
     let mut next = declared(2);
     next.workspaces.remove("mill");
-    world.declare(&next);
-    until("the next note in force", || {
-        callers.iter().all(|c| ask(c, "late").status == 401)
+    cluster.declare(&next);
+    wait_until("the next note in force", || {
+        callers.iter().all(|c| send_prompt(c, "late").status == 401)
     });
-    world.stop();
+    cluster.stop();
 }
--- a/components/entry/tests/path.rs
+++ b/components/entry/tests/path.rs
@@ -2,30 +2,34 @@
 
 mod common;
 
-use common::{GREEN_KEY, MILL_KEY, MODEL, World, WorldConfig, body, declared};
+use common::{Cluster, ClusterConfig, GREEN_KEY, MILL_KEY, MODEL, body, declared};
 use errors::Outcome;
 use hyper::Method;
 use smol::block_on;
 use standins::{Answer, PlatformFaults};
 
-fn right_answer(prompt: &str, tokens: u32) -> String {
+fn expected_answer(prompt: &str, tokens: u32) -> String {
     Answer::new(MODEL, 1, prompt).text(tokens)
 }
 
 #[test]
-fn a_prompt_streams_back_whole() {
-    let world = World::start(&WorldConfig::default());
-    let streamed = block_on(world.caller(0, MILL_KEY).stream(&body("draft a quote", 20), None));
+fn an_answer_is_streamed_completely() {
+    let cluster = Cluster::start(&ClusterConfig::default());
+    let streamed = block_on(
+        cluster
+            .caller(0, MILL_KEY)
+            .stream(&body("draft a quote", 20), None),
+    );
     assert_eq!((streamed.status, streamed.outcome.as_str()), (200, "ran"));
-    assert_eq!(streamed.text, right_answer("draft a quote", 20));
+    assert_eq!(streamed.text, expected_answer("draft a quote", 20));
     assert!(streamed.done);
-    world.stop();
+    cluster.stop();
 }
 
 #[test]
 fn an_answer_that_is_not_streamed_is_whole() {
-    let world = World::start(&WorldConfig::default());
-    let caller = world.caller(0, MILL_KEY);
+    let cluster = Cluster::start(&ClusterConfig::default());
+    let caller = cluster.caller(0, MILL_KEY);
     let json = serde_json::json!({
         "model": MODEL, "max_tokens": 5, "messages": [{ "role": "user", "content": "sacks" }],
     });
@@ -37,21 +41,21 @@
     let value: serde_json::Value = serde_json::from_str(&answered.body).unwrap();
     assert_eq!(
         value["choices"][0]["message"]["content"],
-        right_answer("user: sacks\n", 5)
+        expected_answer("user: sacks\n", 5)
     );
     assert_eq!(value["usage"]["completion_tokens"], 5);
-    world.stop();
+    cluster.stop();
 }
 
 #[test]
 fn a_call_runs_once_at_any_host() {
-    let world = World::start(&WorldConfig::default());
+    let cluster = Cluster::start(&ClusterConfig::default());
     let path = "/v1/services/ledger/grants";
-    let first = block_on(world.caller(0, GREEN_KEY).call(path, Some("grant-1"), "plaza"));
-    let again = block_on(world.caller(1, GREEN_KEY).call(path, Some("grant-1"), "plaza"));
-    let other_body = block_on(world.caller(1, GREEN_KEY).call(path, Some("grant-1"), "common"));
-    let no_key = block_on(world.caller(0, GREEN_KEY).call(path, None, "plaza"));
-    let other_query = block_on(world.caller(0, GREEN_KEY).call(
+    let first = block_on(cluster.caller(0, GREEN_KEY).call(path, Some("grant-1"), "plaza"));
+    let again = block_on(cluster.caller(1, GREEN_KEY).call(path, Some("grant-1"), "plaza"));
+    let other_body = block_on(cluster.caller(1, GREEN_KEY).call(path, Some("grant-1"), "common"));
+    let no_key = block_on(cluster.caller(0, GREEN_KEY).call(path, None, "plaza"));
+    let other_query = block_on(cluster.caller(0, GREEN_KEY).call(
         "/v1/services/ledger/grants?green=2",
         Some("grant-1"),
         "plaza",
@@ -64,29 +68,29 @@
     assert_eq!(again.body, first.body);
     assert_eq!((other_body.status, other_body.outcome.as_str()), (422, "not-run"));
     assert_eq!((no_key.status, no_key.outcome.as_str()), (400, "not-run"));
-    assert_eq!(world.ledger.state().record().runs.len(), 1);
-    world.stop();
+    assert_eq!(cluster.ledger.state().record().runs.len(), 1);
+    cluster.stop();
 }
 
 #[test]
-fn a_note_is_obeyed_by_every_host() {
-    let world = World::start(&WorldConfig::default());
+fn a_note_takes_effect_at_every_host() {
+    let cluster = Cluster::start(&ClusterConfig::default());
     let mut next = declared(2);
     next.workspaces.remove("mill");
-    world.declare(&next);
-    for host in 0..world.hosts.len() {
-        let caller = world.caller(host, MILL_KEY);
+    cluster.declare(&next);
+    for host in 0..cluster.hosts.len() {
+        let caller = cluster.caller(host, MILL_KEY);
         while block_on(caller.stream(&body("draft", 1), None)).status != 401 {
             std::thread::sleep(std::time::Duration::from_millis(20));
         }
     }
-    world.stop();
+    cluster.stop();
 }
 
 #[test]
 fn a_host_that_can_not_confirm_the_note_takes_no_new_work() {
-    let world = World::start(&WorldConfig::default());
-    let caller = world.caller(0, MILL_KEY);
+    let cluster = Cluster::start(&ClusterConfig::default());
+    let caller = cluster.caller(0, MILL_KEY);
     let status_is = |wanted: u16| loop {
         let streamed = block_on(caller.stream(&body("draft", 1), None));
         if streamed.status == wanted {
@@ -94,7 +98,7 @@
         }
         std::thread::sleep(std::time::Duration::from_millis(20));
     };
-    world.platform.state().set_faults(PlatformFaults {
+    cluster.platform.state().set_faults(PlatformFaults {
         down: true,
         ..PlatformFaults::default()
     });
@@ -104,36 +108,36 @@
         refused.problem.unwrap().kind,
         "urn:laburnumtally:problem:not-serving"
     );
-    world.platform.state().set_faults(PlatformFaults::default());
+    cluster.platform.state().set_faults(PlatformFaults::default());
     assert_eq!(status_is(200).outcome, "ran");
-    world.stop();
+    cluster.stop();
 }
 
 #[test]
-fn a_silent_connection_costs_no_second_run() {
-    let world = World::start(&WorldConfig {
+fn a_stalled_connection_does_not_interrupt_an_answer() {
+    let cluster = Cluster::start(&ClusterConfig {
         engines: 1,
-        ..WorldConfig::default()
+        ..ClusterConfig::default()
     });
-    let caller = world.caller(0, MILL_KEY);
+    let caller = cluster.caller(0, MILL_KEY);
     let silenced = async {
         smol::Timer::after(std::time::Duration::from_millis(50)).await;
-        world.engines[0].silence();
+        cluster.engines[0].silence();
     };
     let request = body("a long draft", 300);
     let (streamed, ()) = block_on(futures_lite::future::zip(caller.stream(&request, None), silenced));
-    assert_eq!(streamed.text, right_answer("a long draft", 300));
+    assert_eq!(streamed.text, expected_answer("a long draft", 300));
     assert!(streamed.done);
-    world.stop();
+    cluster.stop();
 }
 
 #[test]
-fn a_crashed_engine_does_not_cut_an_answer() {
-    let world = World::start(&WorldConfig::default());
-    let caller = world.caller(0, MILL_KEY);
+fn a_crashed_engine_does_not_interrupt_an_answer() {
+    let cluster = Cluster::start(&ClusterConfig::default());
+    let caller = cluster.caller(0, MILL_KEY);
     let crash = async {
         smol::Timer::after(std::time::Duration::from_millis(50)).await;
-        for engine in &world.engines {
+        for engine in &cluster.engines {
             let drafts = engine.state().record().drafts;
             if drafts.iter().any(|d| d.prompt == utils::digest(b"a long draft")) {
                 engine.crash();
@@ -142,33 +146,36 @@
     };
     let request = body("a long draft", 300);
     let (streamed, ()) = block_on(futures_lite::future::zip(caller.stream(&request, None), crash));
-    assert_eq!(streamed.text, right_answer("a long draft", 300));
+    assert_eq!(streamed.text, expected_answer("a long draft", 300));
     assert!(streamed.done);
-    world.stop();
+    cluster.stop();
 }
 
 #[test]
-fn a_stream_goes_on_at_another_host() {
-    let world = World::start(&WorldConfig::default());
+fn a_stream_resumes_at_another_host() {
+    let cluster = Cluster::start(&ClusterConfig::default());
     let begun = block_on(
-        world
+        cluster
             .caller(0, MILL_KEY)
             .stream_until(&body("a long draft", 200), None, 50),
     );
     let rest = block_on(
-        world
+        cluster
             .caller(1, MILL_KEY)
             .stream(&body("", 0), Some(&begun.last_id)),
     );
-    assert_eq!(begun.text.clone() + &rest.text, right_answer("a long draft", 200));
+    assert_eq!(
+        begun.text.clone() + &rest.text,
+        expected_answer("a long draft", 200)
+    );
     assert!(rest.done);
     let foreign = block_on(
-        world
+        cluster
             .caller(1, GREEN_KEY)
             .stream(&body("", 0), Some(&begun.last_id)),
     );
     assert_eq!((foreign.status, foreign.outcome.as_str()), (400, "not-run"));
-    world.stop();
+    cluster.stop();
 }
 
 /// Streams that a host says are open.
@@ -182,15 +189,15 @@
 }
 
 #[test]
-fn a_drain_cuts_no_stream() {
+fn a_drain_interrupts_no_stream() {
     const STREAMS: u64 = 200;
-    let mut world = World::start(&WorldConfig {
+    let mut cluster = Cluster::start(&ClusterConfig {
         hosts: 1,
         time_per_output_token: std::time::Duration::from_millis(10),
-        ..WorldConfig::default()
+        ..ClusterConfig::default()
     });
-    let caller = world.caller(0, MILL_KEY);
-    let host = world.hosts.remove(0);
+    let caller = cluster.caller(0, MILL_KEY);
+    let host = cluster.hosts.remove(0);
     let operators = caller.at(host.addresses().operators);
     let streams = std::thread::spawn(move || {
         block_on(async {
@@ -215,20 +222,20 @@
     for streamed in streams.join().unwrap() {
         assert_eq!(
             streamed.text,
-            right_answer("a long draft", 500),
+            expected_answer("a long draft", 500),
             "{:?}",
             streamed.problem
         );
         assert!(streamed.done);
     }
-    world.stop();
+    cluster.stop();
 }
 
 #[test]
 fn a_workspace_over_its_limit_is_refused_and_others_are_served() {
-    let world = World::start(&WorldConfig {
+    let cluster = Cluster::start(&ClusterConfig {
         hosts: 1,
-        ..WorldConfig::default()
+        ..ClusterConfig::default()
     });
     let mut next = declared(2);
     let limits = notes::Limits {
@@ -238,8 +245,8 @@
     let mill = next.workspaces.get("mill").unwrap().clone();
     next.workspaces
         .insert("mill".into(), notes::Workspace { limits, ..mill });
-    world.declare(&next);
-    let caller = world.caller(0, MILL_KEY);
+    cluster.declare(&next);
+    let caller = cluster.caller(0, MILL_KEY);
     let refused = loop {
         let streamed = block_on(caller.stream(&body("draft", 1), None));
         if streamed.status != 200 {
@@ -247,18 +254,18 @@
         }
     };
     assert_eq!((refused.status, refused.outcome.as_str()), (429, "not-run"));
-    let other = block_on(world.caller(0, GREEN_KEY).stream(&body("draft", 1), None));
+    let other = block_on(cluster.caller(0, GREEN_KEY).stream(&body("draft", 1), None));
     assert_eq!(other.status, 200);
-    world.stop();
+    cluster.stop();
 }
 
 #[test]
-fn bad_input_is_refused_and_the_host_lives_on() {
-    let world = World::start(&WorldConfig {
+fn invalid_input_is_refused_and_the_host_keeps_serving() {
+    let cluster = Cluster::start(&ClusterConfig {
         hosts: 1,
-        ..WorldConfig::default()
+        ..ClusterConfig::default()
     });
-    let caller = world.caller(0, MILL_KEY);
+    let caller = cluster.caller(0, MILL_KEY);
     let post = |path: &str, text: String| {
         let req = caller
             .request(Method::POST, path)
@@ -285,19 +292,19 @@
     assert_eq!(post("/elsewhere", String::new()), 404);
     let forged = block_on(caller.stream(&body("", 0), Some("AAAA")));
     assert_eq!(forged.status, 400);
-    let stranger = block_on(world.caller(0, "no-such-key").stream(&body("x", 1), None));
+    let stranger = block_on(cluster.caller(0, "no-such-key").stream(&body("x", 1), None));
     assert_eq!(stranger.status, 401);
     assert_eq!(block_on(caller.stream(&body("still here", 1), None)).status, 200);
-    world.stop();
+    cluster.stop();
 }
 
 #[test]
-fn a_request_tells_its_outcome_and_its_placement() {
-    let world = World::start(&WorldConfig {
+fn the_outcome_and_placement_of_a_request_can_be_queried() {
+    let cluster = Cluster::start(&ClusterConfig {
         hosts: 1,
-        ..WorldConfig::default()
+        ..ClusterConfig::default()
     });
-    let caller = world.caller(0, MILL_KEY);
+    let caller = cluster.caller(0, MILL_KEY);
     let streamed = block_on(caller.stream(&body("a short draft", 3), None));
     let id = &streamed.request_id;
     let get = |path: String| {
@@ -313,10 +320,10 @@
             break;
         }
     }
-    let operators = caller.at(world.hosts[0].addresses().operators);
+    let operators = caller.at(cluster.hosts[0].addresses().operators);
     let decision = block_on(operators.send(get(format!("/v1/decisions/{id}"))));
     assert!(decision.body.contains("chosen"), "{}", decision.body);
-    let stranger = world.caller(0, GREEN_KEY);
+    let stranger = cluster.caller(0, GREEN_KEY);
     assert_eq!(
         block_on(
             stranger.send(
@@ -329,5 +336,5 @@
         .status,
         404
     );
-    world.stop();
+    cluster.stop();
 }
