--- a/components/entry/src/control/demand.rs
+++ b/components/entry/src/control/demand.rs
@@ -7,30 +7,30 @@
 use crate::limits::DemandRates;
 use crate::shared::Shared;
 
-/// Time between two settings of this host's part of the limits.
+/// Interval at which this host's share of the limits is updated.
 const UPDATE_PERIOD: Duration = Duration::from_secs(1);
-/// Age at which another host's report no longer counts.
+/// Age at which a report of another host is discarded.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(10);
-/// Units of a rate that a level counts, so that rates below one a second show.
+/// Scale of request rates before they are encoded as levels, which keeps rates below one a second distinct.
 const UNITS_PER_REQUEST: f64 = 16.0;
 
-/// What workspaces ask of the other hosts, as far as heartbeats tell.
+/// Demand of workspaces at the other hosts, as received in heartbeats.
 #[derive(Debug, Default)]
 pub(crate) struct DemandExchange {
-    /// Reports of other hosts and when they came.
+    /// Latest report of each other host, with the time of receipt.
     reports: HashMap<HostId, (Monotonic, HashMap<WorkspaceTag, DemandRates>)>,
-    /// When the next period ends.
+    /// End of the current update period.
     period_end: Monotonic,
 }
 
 impl DemandExchange {
-    /// Takes another host's report. A report names only the workspaces that asked for something.
+    /// Records a report of another host. A report contains only workspaces with demand.
     pub(crate) fn record_report(&mut self, from: HostId, demand: &[Demand], now: Monotonic) {
         let rates = demand.iter().map(|d| (d.workspace, decode(d)));
         self.reports.insert(from, (now, rates.collect()));
     }
 
-    /// Sets this host's parts of the limits and gives its own report, if a period has passed.
+    /// Updates this host's share of the limits and returns its own report, if the update period has passed.
     pub(crate) fn end_period(&mut self, shared: &Shared, now: Monotonic) -> Option<Vec<Demand>> {
         if now < self.period_end {
             return None;
--- a/components/entry/src/control/kept.rs
+++ b/components/entry/src/control/kept.rs
@@ -13,27 +13,28 @@
 use super::watch::{CacheUpdate, Export};
 use crate::cache::CacheCell;
 
-/// Rate that is assumed of a store before it is measured, in bytes a second.
+/// Transfer rate assumed for a store until it is measured, in bytes per second.
 const DEFAULT_BYTES_PER_SECOND: f64 = 125e6;
 
-/// Exports that wait for the exporter.
+/// Capacity of the queue of exports.
 const EXPORT_QUEUE_CAPACITY: usize = 256;
 
-/// What is known of kept cache: copies, stores and what is worth keeping. Lives on the control thread.
+/// Tracks the kept cache: the locations of pieces, the state of stores, and which pieces are worth storing.
+/// Owned by the control thread.
 pub(crate) struct KeptCache {
-    /// Where pieces are.
+    /// Locations of pieces.
     directory: Directory,
-    /// Keys and measured rates of the stores by name.
+    /// Keys and transfer meters of the stores by name.
     stores: BTreeMap<TargetId, (StoreKey, LinkMeter)>,
     /// Gaps between the uses of pieces.
     retention: Retention,
-    /// Pieces that are on their way to stores.
+    /// Pieces that are being copied to stores.
     exporting: Transfers<TargetId>,
-    /// To the exporter.
+    /// Sends exports to the exporter.
     tx: async_channel::Sender<Export>,
 }
 
-/// A prompt that a target has in its cache now.
+/// A prompt whose pieces are now in a target's cache.
 pub(crate) struct Prefilled<'a> {
     pub(crate) key: CandidateKey,
     pub(crate) workspace: &'a WorkspaceId,
@@ -54,7 +55,7 @@
         (kept, rx)
     }
 
-    /// Takes the stores of the platform's list.
+    /// Replaces the stores with those of the platform's list.
     pub(crate) fn apply_stores<'a>(
         &mut self,
         listed: impl Iterator<Item = &'a ListedHost> + Clone,
@@ -87,10 +88,11 @@
         self.directory.remove_target(key);
     }
 
-    /// Takes what a target said.
+    /// Applies an update from a target.
     pub(crate) fn apply_target_update(&mut self, key: CandidateKey, update: &CacheUpdate) {
         match update {
-            // A gap shows in the directory as doubt; the watcher then reads a snapshot by itself.
+            // After a gap the target's content in the directory is unconfirmed until the poller reads a
+            // snapshot.
             CacheUpdate::Events(batch) => {
                 let _ = self.directory.apply_events(key, batch);
             }
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Takes what a store said.
+    /// Applies an update from a store.
     pub(crate) fn apply_store_update(
         &mut self,
         id: &TargetId,
@@ -123,14 +125,14 @@
         }
     }
 
-    /// Counts a transfer from a store.
+    /// Records the start of a transfer from a store.
     pub(crate) fn record_fetch_start(&mut self, store: SocketAddr, view: &PlacementView, now: Monotonic) {
         if let Some(meter) = self.meter(store, view) {
             meter.started(view.piece_bytes, now);
         }
     }
 
-    /// Takes how a transfer from a store ended.
+    /// Records the end of a transfer from a store.
     pub(crate) fn record_fetch_end(
         &mut self,
         store: SocketAddr,
@@ -147,7 +149,8 @@
         }
     }
 
-    /// Takes that a target has computed or read a prompt, and copies to its region's store what is worth it.
+    /// Records that a target has a prompt in its cache, and exports the pieces worth storing to a store of
+    /// the target's region.
     pub(crate) fn record_prefill(&mut self, prompt: &Prefilled<'_>, view: &PlacementView, now: Monotonic) {
         self.directory.add_expected(prompt.key, prompt.pieces);
         for (depth, piece) in prompt.pieces.iter().enumerate() {
@@ -191,7 +194,7 @@
         });
     }
 
-    /// Publishes copies to `cell` and the state of the stores to `view`.
+    /// Publishes the locations of pieces to `cell` and the state of the stores to `view`.
     pub(crate) fn publish(&mut self, cell: &CacheCell, view: &mut PlacementView, now: Monotonic) {
         for (key, meter) in self.stores.values_mut() {
             meter.check(now);
@@ -205,7 +208,7 @@
         cell.publish(self.directory.view());
     }
 
-    /// Gives pieces to the exporter; with too many waiting they are not kept.
+    /// Queues pieces for export. With a full queue they are dropped and not stored.
     fn send(&mut self, export: Export) {
         if export.pieces.is_empty() {
             return;
--- a/components/entry/src/control/mod.rs
+++ b/components/entry/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! The control thread: owns the control state and publishes views.
+//! The control thread: owns the control state and publishes views of it for the traffic threads.
 
 mod demand;
 mod kept;
@@ -34,28 +34,29 @@
 
 pub(crate) use peers::open as open_peers;
 
-/// Longest wait for the last settlements.
+/// Maximum time to wait at shutdown until the remaining settlements are written; longer than the table
+/// service may take.
 const SETTLEMENT_TIMEOUT: Duration = Duration::from_secs(10);
-/// Inputs that wait for the control loop.
+/// Capacity of the queue of inputs to the control loop.
 const QUEUE_LENGTH: usize = 1_024;
-/// Publishing may take one part in this many of a core.
+/// Publishing views may use at most 1 / `PUBLISH_SHARE_INVERSE` of a core.
 const PUBLISH_SHARE_INVERSE: u32 = 250;
-/// Shortest time from a change to the view that shows it.
+/// Minimum time from a change until it is published.
 const MIN_PUBLISH_INTERVAL: Duration = Duration::from_millis(10);
-/// Longest time from a change to the view that shows it.
+/// Maximum time from a change until it is published.
 const MAX_PUBLISH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the control thread takes from the others.
+/// Inputs that the control thread receives from the other threads.
 pub(crate) struct Sources {
-    /// What traffic threads saw.
+    /// Observations of the traffic threads.
     pub observations: async_channel::Receiver<Observation>,
-    /// What became of requests.
+    /// Outcomes of requests.
     pub records: Records,
-    /// Writes claims and settlements.
+    /// Writes claims and settlements to the table service.
     pub writer: LedgerWriter,
-    /// Rows of requests that were aboard crashes.
+    /// Commands for the rows of suspects: requests that ran on targets that crashed.
     pub table_commands: async_channel::Receiver<TableCommand>,
-    /// Connections to other entry hosts and what arrives over them; `None` without keys.
+    /// Connections to other entry hosts and the messages received over them; `None` without keys.
     pub peers: Option<(Transport, async_channel::Receiver<Arrived>)>,
 }
 
@@ -147,37 +148,38 @@
     flush_settlements(&shared, writer).await;
 }
 
-/// Waits until every settlement is written, or longer than the table service may take.
+/// Waits until every settlement is written, at most [`SETTLEMENT_TIMEOUT`].
 async fn flush_settlements(shared: &Shared, writer: smol::Task<()>) {
     shared.ledger.close();
     let timeout = async {
         smol::Timer::after(SETTLEMENT_TIMEOUT).await;
         let backlog = shared.ledger.stats().backlog.load(Ordering::Relaxed);
-        warn!(shared.log, "settlements are left"; events::SETTLEMENTS_LEFT, "count" => backlog);
+        warn!(shared.log, "settlements not written before shutdown"; events::SETTLEMENTS_LEFT,
+            "count" => backlog);
     };
     writer.or(timeout).await;
 }
 
-/// Stores what became of requests as the traffic threads report it.
+/// Stores the outcomes that traffic threads report.
 async fn store_records(shared: Arc<Shared>, records: Records) {
     while let Ok((id, record)) = records.recv().await {
         shared.outcomes.store(id, record);
     }
 }
 
-/// What the control loop takes next.
+/// An event that the control loop handles.
 enum LoopEvent {
-    /// TableCommand from a poller.
+    /// An input from a poller.
     Input(state::Input),
-    /// TableCommand from a traffic thread.
+    /// An observation from a traffic thread.
     Observation(Observation),
-    /// It is time to publish what changed.
+    /// Changes are due to be published.
     Publish,
-    /// Nothing can come any more.
+    /// A channel is closed.
     Closed,
 }
 
-/// Applies news as it comes; publishes what changed after an interval that grows with the cost of a view.
+/// Applies inputs as they arrive, and publishes changes after an interval that grows with the cost of a view.
 async fn run_loop(
     mut state: ControlState,
     inputs: async_channel::Receiver<state::Input>,
@@ -223,7 +225,7 @@
     }
 }
 
-/// The interval at which publishing takes its share of a core, within bounds.
+/// Returns the interval at which publishing uses its share of a core, within the bounds.
 fn publish_interval(cost: Duration) -> Duration {
     (cost * PUBLISH_SHARE_INVERSE).clamp(MIN_PUBLISH_INTERVAL, MAX_PUBLISH_INTERVAL)
 }
--- a/components/entry/src/control/notes.rs
+++ b/components/entry/src/control/notes.rs
@@ -18,17 +18,17 @@
 use super::state::Input;
 use crate::shared::Shared;
 
-/// Longest wait between two tries while the platform fails.
+/// Maximum time between attempts while the platform fails.
 const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
-/// Times that a starting host looks for the platform's list before its first call.
+/// Maximum number of times that a starting host checks for the platform's list before its first call.
 const MAX_LIST_CHECKS: u32 = 10;
-/// Time between two looks.
+/// Interval between these checks.
 const LIST_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Longest wait for the row that says that the host has ended.
+/// Maximum time to record at shutdown that the host has stopped.
 const STOP_RECORD_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Follows the release notes: reads the head, publishes what must be obeyed, acknowledges what is staged.
+/// Follows the release notes: reads the head, publishes the notes to enforce, acknowledges staged changes.
 pub(crate) async fn follow(
     shared: Arc<Shared>,
     platform: Arc<HttpPlatform>,
@@ -48,7 +48,8 @@
     }
 }
 
-/// Says in the host's row that this run takes no more new work, so that no note waits for it.
+/// Records in the host's row that this run takes no more new work. Notes then come into force without waiting
+/// for it.
 pub(crate) async fn record_stopped(shared: &Shared, platform: Arc<HttpPlatform>) {
     let store = NoteStore::new(platform.clone(), platform);
     let record = async {
@@ -63,7 +64,7 @@
         )))
     };
     if let Err(e) = record.or(timeout).await {
-        warn!(shared.log, "end not recorded"; events::PLATFORM_FAILED,
+        warn!(shared.log, "could not record that this host stopped"; events::PLATFORM_FAILED,
             "what" => "notes", "error" => %e.current_context());
     }
 }
@@ -81,48 +82,48 @@
     }
 }
 
-/// What another entry host said about the notes in a heartbeat.
+/// State of the release notes at another entry host, received in a heartbeat.
 #[derive(Debug)]
 pub(crate) struct PeerNoteState {
     /// The other host.
     pub from: HostId,
-    /// Its run.
+    /// Incarnation of the other host.
     pub incarnation: Incarnation,
-    /// When the probe that it answers was sent; `None` if it answers none.
+    /// When the probe that the heartbeat answers was sent; `None` if it answers none.
     pub probe_sent: Option<Monotonic>,
-    /// What it holds and obeys.
+    /// The changes that the other host holds and enforces.
     pub state: NoteState,
 }
 
-/// One host's part in bringing notes into force.
+/// Reads and acknowledges release notes on behalf of this host.
 struct Follower {
-    /// State of all threads.
+    /// State that all threads share.
     shared: Arc<Shared>,
-    /// Where the notes are.
+    /// Storage of the notes.
     store: NoteStore,
     /// Reads the head with its content.
     reader: NoteReader,
-    /// What is known, and until when the host may take new work.
+    /// Replica of the note state; determines until when the host may take new work.
     replica: NoteReplica,
-    /// Builds the views.
+    /// Builds the views of the notes to enforce.
     builder: EnforcedNotesBuilder,
-    /// Content of what the holder knows.
+    /// Content of the changes that the replica holds.
     content: Option<HeadContent>,
-    /// What other entry hosts say.
+    /// Receives the note states of other entry hosts.
     peer_states: async_channel::Receiver<PeerNoteState>,
-    /// The host's row and its version; `None` while they are not known.
+    /// The host's row and its version; `None` before registration and after a failed write.
     row: Option<(RowVersion, HostRow)>,
     /// State of the last published view.
     published: NoteState,
-    /// To the control loop.
+    /// Sends inputs to the control loop.
     tx: Inputs,
-    /// Logs when the platform fails.
+    /// Logs failures of the platform.
     health: Health,
-    /// Reads that failed in a row.
+    /// Number of consecutive failed reads.
     failures: u32,
     /// Whether a newer run has registered under this host's name.
     is_superseded: bool,
-    /// Whether the log says that the head is not confirmed.
+    /// Whether the missing confirmation of the head has been logged.
     is_unconfirmed: bool,
 }
 
@@ -152,7 +153,8 @@
         }
     }
 
-    /// Spreads the first calls of hosts that start together, as soon as the list tells how many there are.
+    /// Delays the first calls by a random time, which spreads those of hosts that start together. Waits first
+    /// for the list, which gives the number of hosts.
     async fn delay_start(&self) {
         for _ in 0..MAX_LIST_CHECKS {
             if self.shared.view.load().entry_hosts > 0 {
@@ -163,7 +165,7 @@
         smol::Timer::after(self.random_delay()).await;
     }
 
-    /// Waits for something while what other hosts say keeps counting.
+    /// Waits for `work` and applies note states of other hosts meanwhile.
     async fn while_receiving<T>(&mut self, work: impl Future<Output = T>) -> T {
         let peer_states = self.peer_states.clone();
         let mut work = std::pin::pin!(work);
@@ -178,7 +180,8 @@
         }
     }
 
-    /// Takes what another host said: it keeps this one serving, or shows that a staged change is accepted.
+    /// Applies the note state of another host. An answer to a probe extends the time in which this host may
+    /// take new work; a head equal to this host's staged change shows that the change is accepted.
     async fn apply_peer_state(&mut self, peer_state: &PeerNoteState) {
         let effects = match peer_state.probe_sent {
             Some(sent) => {
@@ -194,7 +197,7 @@
         self.log_confirmation();
     }
 
-    /// Makes the content that of the staged change, which another host has as its head.
+    /// Applies the staged change to the content after another host has reported it as its head.
     fn promote_staged(&mut self) {
         let Some(content) = &mut self.content else {
             return;
@@ -205,14 +208,16 @@
         match notes::apply(&content.declared, &note) {
             Ok(next) => content.declared = Arc::new(next),
             Err(e) => {
-                warn!(self.shared.log, "note can not be read"; events::NOTE_REJECTED, "error" => %e.current_context());
+                warn!(self.shared.log, "staged release note can not be applied"; events::NOTE_REJECTED,
+                    "error" => %e.current_context());
                 self.content = None;
             }
         }
     }
 
-    /// Registers this run if that is not done: before the first reading, so that no earlier run can
-    /// acknowledge after it, and after an acknowledgement whose answer is lost.
+    /// Registers this run if it has no row, and returns whether reads may go on. Registration comes before
+    /// the first read: no earlier run can acknowledge after it. It is repeated after an acknowledgement whose
+    /// answer is lost.
     async fn ensure_registered(&mut self) -> bool {
         if self.row.is_some() || self.is_superseded {
             return true;
@@ -246,7 +251,8 @@
                 return;
             }
             Err(e) if !matches!(e.current_context(), NoteError::Platform(_)) => {
-                warn!(self.shared.log, "note can not be read"; events::NOTE_REJECTED, "error" => %e.current_context());
+                warn!(self.shared.log, "release note can not be read"; events::NOTE_REJECTED,
+                    "error" => %e.current_context());
                 self.failures += 1;
                 return self.log_confirmation();
             }
@@ -266,7 +272,7 @@
         self.log_confirmation();
     }
 
-    /// Publishes a changed view first, then lets work in under it.
+    /// Publishes a changed view, then permits new work under it.
     async fn publish(&mut self) {
         let Some(content) = &self.content else {
             return;
@@ -285,14 +291,15 @@
         self.shared.gate.open(&state, serves_until);
     }
 
-    /// Hands a view to the control loop and waits until it is published.
+    /// Sends a view to the control loop and waits until it is published. Returns whether it is.
     async fn send(&self, enforced: EnforcedNotes) -> bool {
         let (done, published) = async_channel::bounded(1);
         let input = Input::Notes { enforced, done };
         self.tx.send(input).await.is_ok() && published.recv().await.is_ok()
     }
 
-    /// Acknowledges the staged change, which the published view obeys. Hosts spread their writes.
+    /// Acknowledges the staged change, which the published view enforces. A random delay spreads the writes
+    /// of all hosts.
     async fn acknowledge(&mut self) {
         let Some(seq) = self.replica.unacknowledged() else {
             return;
@@ -311,7 +318,8 @@
                 self.row = Some((revision, row));
             }
             Err(e) if matches!(e.current_context(), NoteError::OtherRun { .. }) => {
-                warn!(self.shared.log, "another run has this host's name"; events::HOST_SUPERSEDED);
+                warn!(self.shared.log, "a newer run has registered under this host's name";
+                    events::HOST_SUPERSEDED);
                 self.is_superseded = true;
                 self.replica.stop();
                 self.shared.gate.open(&self.published, Monotonic::ZERO);
@@ -322,7 +330,7 @@
         }
     }
 
-    /// Time until the next read: longer with more hosts, and longer while the platform fails.
+    /// Returns the time until the next read. It grows with the number of hosts and while the platform fails.
     fn next_wait(&self) -> Duration {
         let hosts = self.shared.view.load().entry_hosts;
         let shortest = Duration::from_millis(self.shared.settings.platform.head_interval_ms);
@@ -331,7 +339,7 @@
         jittered(backoff.min(MAX_BACKOFF.max(interval)))
     }
 
-    /// A random part of the time that all hosts take for one write each.
+    /// Returns a random part of the window over which all hosts spread one write each.
     fn random_delay(&self) -> Duration {
         let window = write_window(self.shared.view.load().entry_hosts);
         window.mul_f64(rand::rng().random_range(0.0..1.0))
@@ -351,32 +359,33 @@
         }
     }
 
-    /// Logs when new work is refused because the head is not confirmed, and when it is taken again.
+    /// Logs when new work is refused because the head is not confirmed, and when it is accepted again.
     fn log_confirmation(&mut self) {
         let is_unconfirmed =
             self.published.head > 0 && !self.replica.may_take_new_work(self.shared.clock.now());
         if is_unconfirmed && !self.is_unconfirmed {
-            warn!(self.shared.log, "head not confirmed, no new work"; events::HEAD_UNCONFIRMED,
+            warn!(self.shared.log, "head not confirmed, refusing new work"; events::HEAD_UNCONFIRMED,
                 "version" => self.published.version);
         }
         if !is_unconfirmed && self.is_unconfirmed {
-            info!(self.shared.log, "head confirmed again"; events::HEAD_CONFIRMED, "version" => self.published.version);
+            info!(self.shared.log, "head confirmed again, accepting new work"; events::HEAD_CONFIRMED,
+                "version" => self.published.version);
         }
         self.is_unconfirmed = is_unconfirmed;
     }
 }
 
-/// What ends a wait.
+/// The event that ends a wait.
 enum Waited<T> {
-    /// What was waited for.
+    /// The awaited work is done.
     Done(T),
-    /// Another host said something.
+    /// A note state of another host arrived.
     Received(PeerNoteState),
-    /// No host can say anything any more.
+    /// The channel of note states is closed.
     Closed,
 }
 
-/// The platform's part in a failure, for the log; other failures count as unreadable answers.
+/// Converts an error to the platform's error in it, for the log. Other errors count as malformed answers.
 fn platform_error<T>(result: Result<T, Report<NoteError>>) -> Result<T, Report<metadata::PlatformError>> {
     result.map_err(|e| match *e.current_context() {
         NoteError::Platform(kind) => e.change_context(kind),
--- a/components/entry/src/control/peers.rs
+++ b/components/entry/src/control/peers.rs
@@ -18,32 +18,33 @@
 use super::state::Input as ControlInput;
 use crate::shared::Shared;
 
-/// Time between two ticks of the membership.
+/// Interval between ticks of the membership state machine.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Hosts and targets as this host knows them.
+/// Runs the membership state machine of this host and exchanges heartbeats with the other entry hosts.
 pub(crate) struct PeerControl {
-    /// State of all threads.
+    /// State that all threads share.
     shared: Arc<Shared>,
-    /// The state machine.
+    /// The membership state machine.
     membership: Membership,
     /// Connections to other entry hosts; `None` without keys.
     transport: Option<Transport>,
-    /// Entry hosts that can not be probed; the list alone speaks for them.
+    /// Entry hosts that can not be probed; their state comes from the platform's list only.
     unprobed: Vec<ListedHost>,
-    /// What workspaces ask of the other hosts.
+    /// Demand of workspaces at the other hosts.
     demand: DemandExchange,
-    /// Takes what other hosts say about the notes; a full channel drops, the next heartbeat says it again.
+    /// Sends the note states of other hosts to the note follower. A full channel drops a state; the next
+    /// heartbeat carries it again.
     note_states: async_channel::Sender<PeerNoteState>,
-    /// Whether the other hosts know that this one leaves.
+    /// Whether this host has announced to the other hosts that it drains.
     is_leave_announced: bool,
 }
 
-/// What the rest of the control state uses in place of the platform's list.
+/// Hosts and targets as the membership sees them. Replaces the platform's list in the control state.
 pub(crate) struct Members {
-    /// Hosts and targets, with what is known beyond the list.
+    /// Hosts and targets of the list, with the state from the heartbeats.
     pub list: Vec<ListedHost>,
-    /// Targets that did not answer lately.
+    /// Targets that recently failed to answer.
     pub suspects: BTreeSet<TargetId>,
 }
 
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Takes the platform's list.
+    /// Applies the platform's list.
     pub(crate) fn apply_list(&mut self, list: Vec<ListedHost>) -> Option<Members> {
         let own = self.shared.settings.host.id.clone();
         let has_transport = self.transport.is_some();
@@ -83,22 +84,22 @@
         self.step(Input::List(probed))
     }
 
-    /// Takes what came from another host.
+    /// Applies a message from another host.
     pub(crate) fn apply_arrived(&mut self, arrived: Arrived) -> Option<Members> {
         match arrived {
             Arrived::Heartbeat { from, heartbeat } => self.step(Input::Received { from, heartbeat }),
-            // No question is known so far; dropping it ends the stream.
+            // No query type is defined yet; dropping the query closes its stream.
             Arrived::Question { .. } => None,
         }
     }
 
-    /// Tells the other hosts what this one holds and obeys.
+    /// Sends this host's state of the notes to the other hosts with the next heartbeats.
     pub(crate) fn send_note_state(&mut self, state: &NoteState) -> Option<Members> {
         let notes = postcard::to_stdvec(state).unwrap_or_default();
         self.step(Input::Notes(notes))
     }
 
-    /// Takes how a target answered this host.
+    /// Records whether a target answered this host.
     pub(crate) fn observe(&mut self, target: &TargetId, answered: bool) -> Option<Members> {
         let observation = match answered {
             true => Observation::Answered,
@@ -108,7 +109,7 @@
         self.step(Input::Observed { target, observation })
     }
 
-    /// Lets time pass.
+    /// Advances the time: ends the demand period if it is due, announces a drain, and ticks the membership.
     pub(crate) fn tick(&mut self) -> Option<Members> {
         let now = self.shared.clock.now();
         if let Some(demand) = self.demand.end_period(&self.shared, now) {
@@ -199,32 +200,38 @@
         let log = &self.shared.log;
         match event {
             MembershipEvent::ListDistrusted(kept) => {
-                warn!(log, "list lost too much at once"; events::LIST_DISTRUSTED, "kept" => kept);
+                warn!(log, "platform list dropped too many entries at once, keeping them";
+                    events::LIST_DISTRUSTED,
+                    "kept" => kept);
             }
             MembershipEvent::HostSuspected(id) => {
-                info!(log, "host does not answer"; events::PEER_SUSPECTED, "peer" => %id);
+                info!(log, "host does not answer, suspected"; events::PEER_SUSPECTED, "peer" => %id);
+            }
+            MembershipEvent::HostDead(id) => {
+                warn!(log, "host is considered dead"; events::PEER_DEAD, "peer" => %id)
             }
-            MembershipEvent::HostDead(id) => warn!(log, "host is gone"; events::PEER_DEAD, "peer" => %id),
             MembershipEvent::HostRecovered(id) => {
                 info!(log, "host answers again"; events::PEER_BACK, "peer" => %id);
             }
             MembershipEvent::HostRestarted(id) => {
                 info!(log, "host restarted"; events::PEER_RESTARTED, "peer" => %id);
             }
-            MembershipEvent::Isolated => warn!(log, "this host seems cut off"; events::ISOLATED),
+            MembershipEvent::Isolated => {
+                warn!(log, "too many hosts do not answer, this host may be isolated"; events::ISOLATED)
+            }
             MembershipEvent::Rejoined => info!(log, "other hosts answer again"; events::REJOINED),
             MembershipEvent::Paused(ms) => {
                 warn!(log, "control thread was paused"; events::CONTROL_PAUSED, "milliseconds" => ms);
             }
             MembershipEvent::Superseded(incarnation) => {
-                warn!(log, "a later run has this host's name"; events::HOST_SUPERSEDED,
+                warn!(log, "a later run uses this host's name"; events::HOST_SUPERSEDED,
                     "incarnation" => incarnation);
             }
         }
     }
 }
 
-/// Opens the socket for other entry hosts; `None` if the settings name no keys.
+/// Opens the socket for other entry hosts; returns `None` if the settings name no keys.
 ///
 /// # Errors
 /// [`PeerError`] if the keys or the address can not be used.
@@ -244,14 +251,14 @@
     Transport::bind(options, ex).map(Some)
 }
 
-/// Hands ticks to the control loop.
+/// Sends a tick to the control loop at each interval.
 pub(crate) async fn tick(tx: async_channel::Sender<ControlInput>) {
     while tx.send(ControlInput::Tick).await.is_ok() {
         smol::Timer::after(TICK_INTERVAL).await;
     }
 }
 
-/// Hands what arrives to the control loop.
+/// Forwards messages from other hosts to the control loop.
 pub(crate) async fn receive(
     arrivals: async_channel::Receiver<Arrived>,
     tx: async_channel::Sender<ControlInput>,
--- a/components/entry/src/control/poll.rs
+++ b/components/entry/src/control/poll.rs
@@ -15,13 +15,13 @@
 use super::state::Input;
 use crate::shared::Shared;
 
-/// Time between two load reports of a target.
+/// Interval between load reports of a target.
 const LOAD_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Sends inputs to the control loop.
+/// Sender of inputs to the control loop.
 pub(crate) type Inputs = async_channel::Sender<Input>;
 
-/// Reads the platform's list again and again.
+/// Polls the platform's list.
 pub(crate) async fn poll_list(shared: Arc<Shared>, platform: Arc<HttpPlatform>, tx: Inputs) {
     let mut health = Health::new(&shared, "list");
     let interval = Duration::from_millis(shared.settings.platform.list_interval_ms);
@@ -42,7 +42,7 @@
     }
 }
 
-/// Reads the load of every known engine again and again.
+/// Polls the load of every engine in the published view.
 pub(crate) async fn poll_loads(shared: Arc<Shared>, client: Client, ex: Executor, tx: Inputs) {
     let mut tasks: HashMap<TargetId, smol::Task<()>> = HashMap::new();
     loop {
@@ -77,11 +77,11 @@
     }
 }
 
-/// Logs when calls to the platform begin to fail and when they work again.
+/// Logs when calls to the platform start to fail and when they succeed again.
 pub(crate) struct Health {
-    /// For the log.
+    /// Logger.
     log: slog::Logger,
-    /// What is read.
+    /// What the calls read or write; a value in the log.
     what: &'static str,
     /// Whether the last call failed.
     failing: bool,
@@ -96,11 +96,13 @@
         }
     }
 
+    /// Records the result of a call and returns its value.
     pub(crate) fn record<T>(&mut self, result: Result<T, Report<PlatformError>>) -> Option<T> {
         match result {
             Ok(value) => {
                 if self.failing {
-                    info!(self.log, "platform answers"; events::PLATFORM_BACK, "what" => self.what);
+                    info!(self.log, "platform calls succeed again"; events::PLATFORM_BACK,
+                        "what" => self.what);
                 }
                 self.failing = false;
                 Some(value)
@@ -117,7 +119,7 @@
     }
 }
 
-/// An interval changed by up to a tenth, so that hosts spread out.
+/// Returns the interval changed by a random tenth at most, which spreads the calls of hosts.
 pub(crate) fn jittered(interval: Duration) -> Duration {
     interval.mul_f64(rand::rng().random_range(0.9..1.1))
 }
--- a/components/entry/src/control/roster.rs
+++ b/components/entry/src/control/roster.rs
@@ -12,22 +12,24 @@
 use super::poll::jittered;
 use crate::shared::Shared;
 
-/// Key under which hosts are ranked for the work on the roster.
+/// Key of the rendezvous order that selects the hosts that maintain the roster.
 const RANK_KEY: &[u8] = b"roster";
-/// Hosts that look at the roster; the others cause no reads for it.
+/// Number of hosts that maintain the roster; the others cause no reads for it.
 const MAINTAINERS: usize = 3;
-/// Time between two looks.
+/// Interval between checks of the roster.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Time that a difference must last, and what each rank waits longer than the one before.
+/// Time that a difference must last before the first-ranked host changes the roster. Each further rank waits
+/// this much longer.
 const CHANGE_DELAY: Duration = Duration::from_secs(2);
-/// Longest wait for enough acknowledgements in one go; the next look goes on with the same change.
+/// Maximum wait for enough acknowledgements in one check; the next check continues with the same change.
 const ACCEPT_TIMEOUT: Duration = Duration::from_secs(10);
-/// Members from which on two of a region must hear each other to serve without the table service.
+/// Minimum number of roster members of a region at which a host needs an answer of a second member to serve
+/// without the table service.
 const MIN_MEMBERS_FOR_PAIR: usize = 3;
 
-/// Keeps the roster equal to the hosts that run, so that they may serve while the table service is away.
+/// Keeps the roster equal to the running hosts, which lets them serve during an outage of the table service.
 ///
-/// Without keys for heartbeats hosts can not hear each other; the roster stays empty then.
+/// Without keys for heartbeats hosts receive nothing from each other, and the roster stays empty.
 pub(crate) async fn maintain(shared: Arc<Shared>, platform: Arc<HttpPlatform>) {
     if shared.settings.peers == config::PeerSettings::default() {
         return std::future::pending().await;
@@ -47,19 +49,20 @@
         if let Err(e) = maintainer.check().await {
             maintainer.differs_since = None;
             if !matches!(e.current_context(), NoteError::NoHead | NoteError::Platform(_)) {
-                warn!(maintainer.shared.log, "roster not changed"; events::ROSTER_UNCHANGED, "reason" => %e.current_context());
+                warn!(maintainer.shared.log, "roster not changed"; events::ROSTER_UNCHANGED,
+                    "reason" => %e.current_context());
             }
         }
     }
 }
 
-/// Changes the roster when hosts come and go.
+/// Changes the roster when hosts start and stop.
 struct RosterMaintainer {
-    /// State of all threads.
+    /// State that all threads share.
     shared: Arc<Shared>,
-    /// Takes changes to acceptance.
+    /// Stages changes and accepts them.
     operator: Operator,
-    /// Since when the roster differs from the hosts that run.
+    /// Time since which the roster has differed from the running hosts.
     differs_since: Option<Monotonic>,
 }
 
@@ -92,7 +95,7 @@
                 .await
             }
             Some(staged) if staged.note.is_none() => self.accept(head).await,
-            // A note goes first; its operator sees it through.
+            // A staged note has precedence; its operator completes it.
             Some(_) => Ok(()),
         }
     }
@@ -116,13 +119,14 @@
             Acceptance::Waiting { status, .. } => {
                 let missing = status.regions.values().flat_map(|region| &region.missing);
                 let missing: Vec<_> = missing.map(|host| host.to_string()).collect();
-                info!(self.shared.log, "roster waits for hosts"; events::ROSTER_WAITS, "missing" => missing.join(" "));
+                info!(self.shared.log, "roster waits for hosts"; events::ROSTER_WAITS,
+                    "missing" => missing.join(" "));
             }
         }
         Ok(())
     }
 
-    /// This host's place among those that look at the roster.
+    /// Returns this host's rank among the maintainers of the roster; `None` if it drains or has no rank.
     fn rank(&self) -> Option<u32> {
         if self.shared.is_draining() {
             return None;
@@ -139,7 +143,7 @@
     }
 }
 
-/// The rosters that the registered runs of live hosts make up.
+/// Returns the rosters of all regions, made of the registered runs of live hosts.
 fn desired_rosters(rows: &[HostRow], is_live: &dyn Fn(&HostId) -> bool) -> BTreeMap<RegionId, RegionRoster> {
     let mut regions: BTreeMap<RegionId, RegionRoster> = BTreeMap::new();
     for row in rows.iter().filter(|row| !row.is_stopped && is_live(&row.host)) {
--- a/components/entry/src/control/state.rs
+++ b/components/entry/src/control/state.rs
@@ -17,50 +17,50 @@
 use crate::shared::Shared;
 use crate::view::{ServiceTarget, View};
 
-/// Load reports missed in a row after which a target counts as suspect.
+/// Number of consecutive missed load reports after which a target counts as suspect.
 const MISSED_REPORTS_BEFORE_SUSPECT: u32 = 3;
 
-/// TableCommand for the control state.
+/// An input to the control state.
 #[derive(Debug)]
 pub(crate) enum Input {
-    /// The platform's list.
+    /// The platform's list of hosts and targets.
     List(Vec<ListedHost>),
-    /// What must be obeyed; the loop publishes it at once and then says so.
+    /// Changed notes to enforce. The loop publishes them immediately and then signals `done`.
     Notes {
-        /// What must be obeyed.
+        /// The notes to enforce.
         enforced: EnforcedNotes,
-        /// Told once the view is published.
+        /// Receives a message once the view is published.
         done: async_channel::Sender<()>,
     },
-    /// What a target or a store says about its pieces.
+    /// An update about the cache pieces of a target or store.
     Cache(TargetId, CacheUpdate),
-    /// A target's load, or `None` if it did not answer.
+    /// Load report of a target, or `None` if it did not answer.
     Load(TargetId, Option<LoadReport>),
-    /// Something came from another entry host.
+    /// A message from another entry host.
     Arrived(Arrived),
-    /// Time has passed.
+    /// The tick interval has passed.
     Tick,
 }
 
-/// All control state of a host. Lives on the control thread.
+/// The control state of a host. Owned by the control thread.
 pub(crate) struct ControlState {
-    /// Where views are published.
+    /// State that all threads share; views are published here.
     shared: Arc<Shared>,
-    /// Liveness of hosts and targets.
+    /// Membership: liveness of hosts and targets.
     peers: PeerControl,
-    /// Hosts and targets, as the list and the other hosts say.
+    /// Hosts and targets, from the platform's list and the heartbeats of other hosts.
     list: Vec<ListedHost>,
-    /// Targets that did not answer lately.
+    /// Targets that recently failed to answer.
     suspects: BTreeSet<TargetId>,
-    /// What must be obeyed.
+    /// The notes to enforce.
     enforced: EnforcedNotes,
-    /// Engines; keys stay the same while an engine is listed.
+    /// Engines. An engine keeps its key while it is listed.
     engines: PlacementView,
-    /// Keys of the engines by name.
+    /// Keys of the engines by target name.
     keys_by_id: BTreeMap<TargetId, CandidateKey>,
-    /// Reports missed in a row.
+    /// Number of consecutive missed load reports by target.
     missed_reports: BTreeMap<TargetId, u32>,
-    /// Where pieces are kept.
+    /// Locations of kept cache pieces.
     kept: KeptCache,
 }
 
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Takes news.
+    /// Applies an input.
     pub(crate) fn apply(&mut self, input: Input) {
         match input {
             Input::List(list) => {
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Takes what changed among hosts and targets.
+    /// Applies a change of the hosts and targets.
     fn apply_members(&mut self, members: Option<Members>) {
         let Some(members) = members else {
             return;
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Takes what a traffic thread saw.
+    /// Applies an observation of a traffic thread.
     pub(crate) fn observe(&mut self, observation: &Observation) {
         let now = self.shared.clock.now();
         match observation {
@@ -166,7 +166,8 @@
         if list == self.list {
             return;
         }
-        info!(self.shared.log, "list changed"; events::LIST_READ, "entries" => list.len());
+        info!(self.shared.log, "list of hosts and targets changed"; events::LIST_READ,
+            "entries" => list.len());
         let listed = |id: &TargetId| list.iter().any(|h| h.role == HostRole::Engine && h.id == *id);
         let removed: Vec<_> = self.keys_by_id.keys().filter(|id| !listed(id)).cloned().collect();
         for id in removed {
@@ -214,12 +215,12 @@
         }
     }
 
-    /// Takes what must be obeyed from now on.
+    /// Replaces the notes to enforce.
     pub(crate) fn apply_notes(&mut self, enforced: EnforcedNotes) {
         self.enforced = enforced;
     }
 
-    /// Tells the other hosts what the published view obeys.
+    /// Sends the state of the notes in the published view to the other hosts.
     pub(crate) fn send_note_state(&mut self) {
         let members = self.peers.send_note_state(&self.enforced.state());
         self.apply_members(members);
@@ -254,7 +255,7 @@
         candidate.sent_since_tokens = 0;
     }
 
-    /// Publishes a view of the state as it is.
+    /// Publishes a view of the current state.
     pub(crate) fn publish(&mut self) {
         let now = self.shared.clock.now();
         self.kept.publish(&self.shared.cache, &mut self.engines, now);
--- a/components/entry/src/control/suspects.rs
+++ b/components/entry/src/control/suspects.rs
@@ -17,65 +17,65 @@
 use crate::quarantine::{MAX_ATTEMPT_TIME, TableCommand};
 use crate::shared::Shared;
 
-/// Start of the key of every row.
-const PREFIX: &str = "suspect/";
-/// Start of the key of the row that a suspect's try holds for its target.
+/// Prefix of the keys of suspect rows.
+const SUSPECT_PREFIX: &str = "suspect/";
+/// Prefix of the keys of the rows that reserve a target for an attempt of a suspect.
 const TARGET_PREFIX: &str = "suspect-target/";
-/// Time after its last change at which a row is removed.
+/// Time since its last change after which a row is removed.
 const ROW_EXPIRY: Duration = Duration::from_secs(3_600);
-/// Most rows in a transaction.
-const BATCH_ROWS: usize = 64;
-/// Most rows that a scan returns.
-const SCAN_ROWS: usize = 1_000;
-/// Time between two tries to write.
+/// Maximum number of rows in a transaction.
+const MAX_BATCH_ROWS: usize = 64;
+/// Maximum number of rows that a scan returns.
+const MAX_SCAN_ROWS: usize = 1_000;
+/// Time between attempts to write a batch.
 const WRITE_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What the table holds about a request.
+/// Row of a request that ran on a target that crashed.
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize)]
 struct SuspectRow {
-    /// Crashes and tries.
+    /// Crashes and attempts of the request.
     suspicion: Suspicion,
-    /// Last change, in seconds since 1970.
+    /// Time of the last change, in seconds since the Unix epoch.
     changed_at: u64,
 }
 
-/// What the table holds about a target that runs a suspect.
+/// Row of a target that is reserved for an attempt of a suspect.
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize)]
 struct TargetRow {
-    /// The try.
+    /// The attempt.
     id: TryId,
-    /// When it took the target, in seconds since 1970.
+    /// Time of the reservation, in seconds since the Unix epoch.
     claimed_at: u64,
 }
 
-/// A try that wants a target, and who is told whether it has it.
+/// A target, the attempt that claims it, and the sender that reports whether the claim is granted.
 type Claim = (TargetId, TryId, async_channel::Sender<bool>);
 
-/// Who waits for rows.
+/// Sends the merged rows to a waiting thread.
 type RowsSender = async_channel::Sender<Vec<(Fingerprint, Suspicion)>>;
 
-/// TableCommand that go into one transaction.
+/// Commands that are written in one transaction.
 #[derive(Default)]
 struct Batch {
     /// Rows to merge.
     merges: BTreeMap<Fingerprint, Suspicion>,
     /// Rows to remove.
     removals: BTreeSet<Fingerprint>,
-    /// Who waits.
+    /// Senders to notify once the rows are written.
     waiters: Vec<RowsSender>,
-    /// Targets that are wanted.
+    /// Targets to claim.
     claims: Vec<Claim>,
-    /// Targets that are given back.
+    /// Targets to release.
     releases: BTreeSet<(TargetId, TryId)>,
 }
 
-/// What a batch has written.
-struct Written {
-    /// Rows of suspects as they are now.
+/// Result of writing a batch.
+struct WriteResult {
+    /// Merged rows of suspects.
     rows: Vec<(Fingerprint, Suspicion)>,
-    /// For each claim, whether the try has its target.
+    /// For each claim, whether it is granted.
     granted: Vec<bool>,
 }
 
@@ -103,15 +103,15 @@
 
     fn is_full(&self) -> bool {
         let rows = self.merges.len() + self.removals.len();
-        rows + self.claims.len() + self.releases.len() >= BATCH_ROWS
+        rows + self.claims.len() + self.releases.len() >= MAX_BATCH_ROWS
     }
 
-    /// Writes the batch on top of what the table holds; `None` if that changed meanwhile.
+    /// Merges the batch with the rows in the table and writes it; returns `None` if a row changed meanwhile.
     async fn write(
         &self,
         shared: &Shared,
         table: &HttpPlatform,
-    ) -> Result<Option<Written>, Report<PlatformError>> {
+    ) -> Result<Option<WriteResult>, Report<PlatformError>> {
         let mut keys: Vec<_> = self.merges.keys().map(suspect_key).collect();
         let claimed = self.claims.iter().map(|(target, _, _)| target);
         let released = self.releases.iter().map(|(target, _)| target);
@@ -128,10 +128,10 @@
             key: suspect_key(request),
         }));
         if tx.writes.is_empty() {
-            return Ok(Some(Written { rows, granted }));
+            return Ok(Some(WriteResult { rows, granted }));
         }
         match table.transact(tx).await? {
-            Committed::Applied { .. } => Ok(Some(Written { rows, granted })),
+            Committed::Applied { .. } => Ok(Some(WriteResult { rows, granted })),
             Committed::Refused { .. } => Ok(None),
         }
     }
@@ -162,7 +162,8 @@
         merged
     }
 
-    /// Adds the rows of targets that are free, expired or given back. Returns which claims hold.
+    /// Adds the rows of claimed targets that are free, expired or released, and deletes the rows of other
+    /// released targets. Returns for each claim whether it is granted.
     fn add_claims(
         &self,
         tx: &mut Transaction,
@@ -213,7 +214,7 @@
     }
 }
 
-/// Writes the rows of suspects as they come, all that wait in one transaction.
+/// Executes commands as they arrive, with all pending commands up to the batch size in one transaction.
 pub(crate) async fn write(
     shared: Arc<Shared>,
     table: Arc<HttpPlatform>,
@@ -238,7 +239,8 @@
     }
 }
 
-fn apply_written(shared: &Shared, batch: &Batch, written: &Written) {
+/// Merges the written rows into this host's state and notifies the waiters.
+fn apply_written(shared: &Shared, batch: &Batch, written: &WriteResult) {
     let now = shared.clock.now();
     for (request, suspicion) in &written.rows {
         shared.suspects.quarantine().merge(*request, suspicion, now);
@@ -254,7 +256,7 @@
     }
 }
 
-/// Reads the rows of all hosts again and again.
+/// Scans the rows of all hosts at an interval, and removes expired rows.
 pub(crate) async fn scan(shared: Arc<Shared>, table: Arc<HttpPlatform>) {
     let mut health = Health::new(&shared, "suspects");
     let interval = Duration::from_millis(shared.settings.platform.head_interval_ms);
@@ -275,12 +277,12 @@
     let mut rows: Vec<Row> = Vec::new();
     loop {
         let req = ScanRequest {
-            prefix: PREFIX.to_owned(),
+            prefix: SUSPECT_PREFIX.to_owned(),
             after: rows.last().map_or_else(String::new, |row| row.key.clone()),
-            limit: SCAN_ROWS,
+            limit: MAX_SCAN_ROWS,
         };
         let more = table.scan(req).await?;
-        let is_last = more.len() < SCAN_ROWS;
+        let is_last = more.len() < MAX_SCAN_ROWS;
         rows.extend(more);
         if is_last {
             return Ok(rows);
@@ -288,12 +290,16 @@
     }
 }
 
-/// Takes the rows and forgets those that are gone. Returns the requests that have rows.
+/// Merges the rows into this host's state and clears requests whose rows are gone. Returns the requests with
+/// rows.
 fn apply_rows(shared: &Shared, cached: &BTreeSet<Fingerprint>, rows: &[Row]) -> BTreeSet<Fingerprint> {
     let now = shared.clock.now();
     let mut found = BTreeSet::new();
     for row in rows {
-        let request = row.key.strip_prefix(PREFIX).and_then(|text| text.parse().ok());
+        let request = row
+            .key
+            .strip_prefix(SUSPECT_PREFIX)
+            .and_then(|text| text.parse().ok());
         if let (Some(request), Some(row)) = (request, parse_suspect(row)) {
             shared.suspects.quarantine().merge(request, &row.suspicion, now);
             found.insert(request);
@@ -310,7 +316,7 @@
     info!(shared.log, "request cleared"; events::REQUEST_CLEARED, "fingerprint" => %request);
 }
 
-/// Removes the rows that have not changed for long.
+/// Returns a transaction that removes the rows that have not changed for [`ROW_EXPIRY`].
 fn expired_removals(shared: &Shared, rows: &[Row]) -> Transaction {
     let now = wall_seconds(shared);
     let mut tx = Transaction::default();
@@ -346,7 +352,7 @@
 }
 
 fn suspect_key(request: &Fingerprint) -> String {
-    format!("{PREFIX}{request}")
+    format!("{SUSPECT_PREFIX}{request}")
 }
 
 fn wall_seconds(shared: &Shared) -> u64 {
--- a/components/entry/src/control/watch.rs
+++ b/components/entry/src/control/watch.rs
@@ -15,28 +15,28 @@
 use super::state::Input;
 use crate::shared::Shared;
 
-/// Time between two reads of the cache events of a target, or of the changes of a store.
+/// Interval between reads of the cache events of a target, or of the changes of a store.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What a target or a store says about its pieces.
+/// An update about the cache pieces of a target or store.
 #[derive(Debug)]
 pub(crate) enum CacheUpdate {
     /// Changes of a target's cache.
     Events(CacheEvents),
-    /// All of a target's cache.
+    /// Snapshot of a target's cache.
     Snapshot(CacheSnapshot),
-    /// Changes of a store since a number.
+    /// Changes of a store from the given change number on.
     Catalogue(u64, Catalogue),
-    /// Size of a full piece on a store.
+    /// Size of a full piece in a store, in bytes.
     PieceBytes(u64),
-    /// Pieces were written to a store, or could not be.
+    /// Pieces whose export to a store has ended, successfully or not.
     Exported(Vec<PieceId>),
 }
 
 /// Pieces to copy from a target to a store.
 #[derive(Debug)]
 pub(crate) struct Export {
-    /// The target.
+    /// Address of the target.
     pub(crate) engine: SocketAddr,
     /// Name of the store.
     pub(crate) store_id: TargetId,
@@ -44,11 +44,11 @@
     pub(crate) store: SocketAddr,
     /// Weight version of the pieces.
     pub(crate) weight_version: WeightVersion,
-    /// The pieces, first to last.
+    /// The pieces in the order of the prompt.
     pub(crate) pieces: Vec<PieceId>,
 }
 
-/// Watches every known engine and store.
+/// Polls every engine and store of the published view.
 pub(crate) async fn poll_caches(shared: Arc<Shared>, client: Client, ex: Executor, tx: Inputs) {
     let mut tasks: HashMap<(TargetId, SocketAddr), smol::Task<()>> = HashMap::new();
     loop {
@@ -79,7 +79,7 @@
     }
 }
 
-/// Reads the cache events of an engine; after a gap or a restart, all of its cache.
+/// Polls the cache events of an engine. Reads a snapshot after a gap or a restart.
 async fn poll_engine(id: TargetId, engine: HttpEngine, tx: Inputs) {
     let mut position: Option<(Incarnation, u64)> = None;
     loop {
@@ -113,7 +113,7 @@
     }
 }
 
-/// Reads the changes of a store; after a restart, all of its content.
+/// Polls the changes of a store. Reads them from the start after a restart.
 async fn poll_store(id: TargetId, store: HttpStore, tx: Inputs) {
     let mut position: Option<(Incarnation, u64)> = None;
     let mut is_size_known = false;
@@ -143,7 +143,7 @@
     }
 }
 
-/// Copies pieces from targets to stores, one prompt after the other. A failure only means that they are not kept.
+/// Copies pieces from targets to stores, one export after another. Pieces that fail to copy are not stored.
 pub(crate) async fn export(
     shared: Arc<Shared>,
     client: Client,
@@ -159,7 +159,7 @@
                 store: export.store,
             };
             if let Err(e) = engine.export(req).await {
-                warn!(shared.log, "pieces not exported"; events::EXPORT_FAILED,
+                warn!(shared.log, "export of pieces failed"; events::EXPORT_FAILED,
                     "store" => &*export.store_id, "failure" => %e.current_context());
                 break;
             }
--- a/components/entry/tests/cache.rs
+++ b/components/entry/tests/cache.rs
@@ -1,4 +1,4 @@
-//! Kept cache over real sockets: copies to a store, reads back, and stores that fail.
+//! Kept cache over real sockets: exports to a store, reads from it, and store failures.
 
 mod common;
 
@@ -9,10 +9,10 @@
 use smol::block_on;
 use standins::{Answer, Running, Store, StoreFaults};
 
-/// Longest wait for something that is done in the background.
+/// Maximum wait for background work.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Pieces of the prompts here; an engine holds no more than one such prompt.
+/// Number of pieces of each prompt; equals the cache capacity of the engine.
 const PIECES: usize = 3;
 
 fn start_cluster() -> Cluster {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Sends one prompt until its pieces are on the store, then others until the engine has dropped them.
+/// Sends a prompt until its pieces are in the store, then another prompt that evicts them from the engine.
 fn store_first_prompt(caller: &Caller, store: &Running<Store>) {
     wait_until("the pieces are copied to the store", || {
         send_prompt(caller, 1);
--- a/components/entry/tests/calls.rs
+++ b/components/entry/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls that must not be repeated, over real sockets and with faults.
+//! Calls that must run at most once, over real sockets and with faults.
 
 mod common;
 
@@ -130,7 +130,8 @@
     cluster.stop();
 }
 
-/// Identifiers of the requests that were refused as not run.
+/// Sends a call until it succeeds, at most eight times. Returns the identifiers of requests refused as
+/// not-run.
 async fn send_until_answered(callers: &[Caller], key: String) -> Vec<String> {
     let mut refused = Vec::new();
     for caller in callers.iter().cycle().take(8) {
--- a/components/entry/tests/common/caller.rs
+++ b/components/entry/tests/common/caller.rs
@@ -4,43 +4,43 @@
 use http_io::{Body, Client, SseReader, full_body, json_body, read_limited};
 use hyper::{Method, Request};
 
-/// Longest answer read, in bytes.
+/// Maximum size of an answer, in bytes.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// A caller of one entry host.
+/// A client of one entry host.
 pub struct Caller {
     client: Client,
     addr: SocketAddr,
     api_key: String,
 }
 
-/// What a caller got from a stream.
+/// Result of a streamed completion.
 #[derive(Debug, Default)]
 pub struct StreamResult {
     /// HTTP status.
     pub status: u16,
-    /// The outcome header.
+    /// Value of the outcome header.
     pub outcome: String,
-    /// The request's identifier.
+    /// Identifier of the request.
     pub request_id: String,
-    /// The text so far.
+    /// Text received so far.
     pub text: String,
-    /// Tokens so far.
+    /// Number of tokens received so far.
     pub tokens: u32,
-    /// The last event's identifier.
+    /// Identifier of the last event.
     pub last_id: String,
-    /// Whether the end marker came.
+    /// Whether the end marker was received.
     pub done: bool,
-    /// The problem, if the answer was one or ended in one.
+    /// The problem, if the answer was one or ended with one.
     pub problem: Option<Problem>,
 }
 
-/// What a caller got from a call.
+/// Result of a call to the ledger or of another unstreamed request.
 #[derive(Debug)]
 pub struct CallResult {
     /// HTTP status.
     pub status: u16,
-    /// The outcome header.
+    /// Value of the outcome header.
     pub outcome: String,
     /// Body.
     pub body: String,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The same caller at another address.
+    /// Returns a caller with the same key for another address.
     pub fn at(&self, addr: SocketAddr) -> Self {
         Self {
             client: self.client.clone(),
@@ -69,7 +69,7 @@
         self.stream_until(body, last_id, u32::MAX).await
     }
 
-    /// Reads a streamed completion until it has `tokens` tokens, then leaves.
+    /// Reads a streamed completion until it has `tokens` tokens, then closes the connection.
     pub async fn stream_until(
         &self,
         body: &serde_json::Value,
@@ -109,7 +109,7 @@
         streamed
     }
 
-    /// Makes a call to the ledger.
+    /// Sends a call to the ledger.
     pub async fn call(&self, path: &str, key: Option<&str>, body: &str) -> CallResult {
         let mut req = self.request(Method::POST, path);
         if let Some(key) = key {
@@ -118,7 +118,7 @@
         self.send(req.body(full_body(body.to_owned())).unwrap()).await
     }
 
-    /// Sends any request.
+    /// Sends a request and reads the whole answer.
     pub async fn send(&self, req: Request<Body>) -> CallResult {
         let res = self.client.send(self.addr, req).await.unwrap();
         let status = res.status().as_u16();
@@ -131,7 +131,7 @@
         }
     }
 
-    /// The head of a request with the caller's key.
+    /// Returns a request builder with the caller's key.
     pub fn request(&self, method: Method, path: &str) -> hyper::http::request::Builder {
         Request::builder()
             .method(method)
--- a/components/entry/tests/common/mod.rs
+++ b/components/entry/tests/common/mod.rs
@@ -29,27 +29,27 @@
 pub const GREEN_KEY: &str = "green-key";
 /// The model that every engine serves.
 pub const MODEL: &str = "draft";
-/// The service whose calls may not be repeated.
+/// The service whose calls must not be repeated.
 pub const LEDGER: &str = "ledger";
 
-/// Longest wait of a caller; longer than any wait of a host.
+/// Maximum wait of a caller; longer than any timeout of a host.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(20);
-/// Longest wait for a note to come into force.
+/// Maximum wait for a note to come into force.
 const NOTE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How a world is built.
+/// Configuration of a [`Cluster`].
 pub struct ClusterConfig {
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Engines that the platform lists from the start, if not all.
+    /// Number of engines that the platform lists from the start; all if `None`.
     pub listed_engines: Option<usize>,
-    /// Entry hosts.
+    /// Number of entry hosts.
     pub hosts: usize,
-    /// Time for an engine to generate a token.
+    /// Time that an engine takes per output token.
     pub time_per_output_token: Duration,
-    /// Longest wait without progress.
+    /// Maximum time without progress of a stream.
     pub progress: Duration,
-    /// Cache pieces that an engine holds.
+    /// Number of cache pieces that an engine can hold.
     pub cache_pieces: u32,
 }
 
@@ -66,21 +66,21 @@
     }
 }
 
-/// A running deployment.
+/// A running deployment with stand-ins for the platform, engines and services.
 pub struct Cluster {
     /// Runs the stand-ins and the callers.
     ex: Executor,
-    /// The platform.
+    /// Stand-in of the platform.
     pub platform: Running<Platform>,
-    /// Engines.
+    /// Stand-ins of engines.
     pub engines: Vec<Running<Engine>>,
-    /// The ledger.
+    /// Stand-in of the ledger service.
     pub ledger: Running<Service>,
-    /// Entry hosts.
+    /// Running entry hosts.
     pub hosts: Vec<Daemon>,
     /// Dropped to end the thread of the stand-ins.
     stop: async_channel::Sender<()>,
-    /// Runs the executor.
+    /// Thread that runs the executor.
     thread: std::thread::JoinHandle<()>,
 }
 
@@ -130,14 +130,14 @@
         cluster
     }
 
-    /// Where the notes are.
+    /// Returns the storage of the release notes.
     pub fn notes(&self) -> NoteStore {
         let client = Client::new(self.ex.clone(), ClientConfig::default());
         let platform = Arc::new(HttpPlatform::new(client, self.platform.addr()));
         NoteStore::new(platform.clone(), platform)
     }
 
-    /// Brings into force what is declared, by a note.
+    /// Declares `declared` in a release note and waits until the note is in force.
     pub fn declare(&self, declared: &Declared) {
         let operator = Operator {
             store: self.notes(),
@@ -149,7 +149,7 @@
         assert!(matches!(accepted, Acceptance::InForce(_)));
     }
 
-    /// Starts a store host and puts it on the list.
+    /// Starts a store and adds it to the platform's list.
     pub fn add_store(&self) -> Running<Store> {
         let store = Store::start(&self.ex, loopback(), StoreConfig::default()).unwrap();
         let listed = listed("store-0", HostRole::Store, store.addr(), MODEL);
@@ -157,7 +157,7 @@
         store
     }
 
-    /// A caller at a host.
+    /// Returns a caller of the given host.
     pub fn caller(&self, host: usize, api_key: &str) -> Caller {
         let cfg = ClientConfig {
             connect_timeout: CALLER_TIMEOUT,
@@ -168,7 +168,7 @@
         Caller::new(client, self.hosts[host].addresses().callers, api_key)
     }
 
-    /// Waits until every host can place a draft.
+    /// Waits until every host serves drafts.
     fn wait_until_ready(&self) {
         for host in 0..self.hosts.len() {
             let caller = self.caller(host, MILL_KEY);
@@ -195,12 +195,12 @@
     }
 }
 
-/// Body of a streamed completion.
+/// Returns the body of a streamed completion.
 pub fn body(prompt: &str, max_tokens: u32) -> serde_json::Value {
     serde_json::json!({ "model": MODEL, "prompt": prompt, "max_tokens": max_tokens, "stream": true })
 }
 
-/// One model and one service for two workspaces.
+/// Returns a declaration of one model and one service for two workspaces.
 pub fn declared(version: u64) -> Declared {
     let limits = Limits {
         requests_per_second: 100_000.0,
@@ -234,7 +234,7 @@
     declared
 }
 
-/// A free loopback address.
+/// Returns a loopback address with a port that the system chooses.
 pub fn loopback() -> SocketAddr {
     ([127, 0, 0, 1], 0).into()
 }
@@ -259,7 +259,7 @@
     .unwrap()
 }
 
-/// Starts a host with keys from `dir` for the other hosts, and lists it.
+/// Starts a host that has its peer keys in `dir`, and adds it to the platform's list.
 pub fn start_with_keys(cluster: &Cluster, dir: &std::path::Path, i: usize, log: slog::Logger) -> Daemon {
     let mut settings = settings(i, cluster.platform.addr(), Duration::from_millis(400));
     let id = settings.host.id.clone();
@@ -278,7 +278,7 @@
     daemon
 }
 
-/// Waits until something holds.
+/// Waits until the condition holds; panics after a minute.
 pub fn wait_until(what: &str, holds: impl Fn() -> bool) {
     for _ in 0..1_200 {
         if holds() {
@@ -286,10 +286,10 @@
         }
         std::thread::sleep(Duration::from_millis(50));
     }
-    panic!("never: {what}");
+    panic!("timed out waiting for: {what}");
 }
 
-/// Settings of a host.
+/// Returns the settings of a host.
 pub fn settings(i: usize, platform: SocketAddr, progress: Duration) -> Settings {
     let platform = PlatformSettings {
         list_interval_ms: 100,
@@ -329,7 +329,7 @@
     }
 }
 
-/// An entry of the platform's list.
+/// Returns an entry of the platform's list.
 pub fn listed(id: &str, role: HostRole, address: SocketAddr, serves: &str) -> ListedHost {
     ListedHost {
         id: id.into(),
--- a/components/entry/tests/faults.rs
+++ b/components/entry/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Drafts under faults of engines, alone and in pairs: every answer is whole, or its problem is true.
+//! Drafts under engine faults, alone and in pairs: each answer is whole or ends with a correct problem.
 
 mod common;
 
@@ -8,16 +8,16 @@
 use standins::{Answer, EngineFaults, Odds};
 use std::time::Duration;
 
-/// Drafts sent under each pair of faults.
+/// Number of drafts under each pair of faults.
 const DRAFTS: usize = 24;
-/// Drafts open at once.
+/// Number of drafts in flight at once.
 const MAX_CONCURRENT: usize = 8;
-/// Tokens of each answer.
+/// Number of tokens of each answer.
 const TOKENS: u32 = 25;
-/// Share of drafts that a fault hits.
+/// Share of the drafts that a fault affects.
 const FAULT_SHARE: f64 = 0.25;
 
-/// A fault of an engine.
+/// An engine fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     Late,
@@ -40,6 +40,7 @@
 ];
 
 impl Fault {
+    /// Configures the fault, if it is one that affects a share of the drafts.
     fn set(self, faults: &mut EngineFaults) {
         let odds = Odds::share(FAULT_SHARE);
         match self {
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Hits one engine in the middle of the run.
+    /// Injects the fault into an engine during the run, if it is one that affects a whole engine.
     async fn inject(self, cluster: &Cluster) {
         smol::Timer::after(Duration::from_millis(30)).await;
         match self {
@@ -63,7 +64,7 @@
     }
 }
 
-/// What came of the drafts under a pair of faults.
+/// Number of drafts by result.
 #[derive(Debug, Default)]
 struct Counts {
     whole: usize,
@@ -84,14 +85,14 @@
     }
     let problem = streamed
         .problem
-        .unwrap_or_else(|| panic!("{prompt} ended without a word"));
+        .unwrap_or_else(|| panic!("{prompt} ended without a problem"));
     let digest = utils::digest(prompt.as_bytes());
     let ran = cluster
         .engines
         .iter()
         .any(|e| e.state().record().drafts.iter().any(|d| d.prompt == digest));
     if problem.outcome == errors::Outcome::NotRun {
-        assert!(!ran, "{prompt} ran, the caller was told not-run");
+        assert!(!ran, "{prompt} ran, the caller received not-run");
         return (0, 0, 1);
     }
     (0, 1, 0)
--- a/components/entry/tests/heartbeats.rs
+++ b/components/entry/tests/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Entry hosts with keys for each other, over real sockets.
+//! Entry hosts that exchange heartbeats over real sockets.
 
 mod common;
 
@@ -9,13 +9,13 @@
 use entry::Daemon;
 use slog::{Drain, KV, Never, OwnedKVList, Record, Serializer};
 
-/// Names and peers of the events that a host logged.
+/// Values of the log lines of a host, joined by spaces.
 type Events = Arc<Mutex<Vec<String>>>;
 
-/// Keeps the events of a host.
+/// Records the log lines of a host.
 struct EventRecorder(Events);
 
-/// Joins the values of a line.
+/// Collects the values of a log line.
 struct Values(Vec<String>);
 
 impl Serializer for Values {
--- a/components/entry/tests/members.rs
+++ b/components/entry/tests/members.rs
@@ -1,4 +1,4 @@
-//! Targets that the platform's list loses or marks as leaving.
+//! Targets that disappear from the platform's list or are listed as leaving.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use metadata::{HostRole, HostState};
 use smol::block_on;
 
-/// Time in which a leaving target must get no more new work.
+/// Time after which a leaving target receives no new work.
 const LEAVING_BOUND: Duration = Duration::from_secs(3);
 
 #[test]
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_leaving_target_gets_no_new_work_within_its_bound() {
+fn a_leaving_target_gets_no_new_work_after_the_bound() {
     let cluster = Cluster::start(&ClusterConfig::default());
     let mut leaving = common::listed(
         "engine-0",
--- a/components/entry/tests/outage.rs
+++ b/components/entry/tests/outage.rs
@@ -1,4 +1,4 @@
-//! Entry hosts that hear each other keep serving while the table service is away.
+//! Entry hosts with heartbeats keep serving during an outage of the table service.
 
 mod common;
 
@@ -10,9 +10,9 @@
 use smol::block_on;
 use standins::{Answer, PlatformFaults};
 
-/// Outage; several times the freshness period of the notes.
+/// Duration of the outage; several times the freshness period of the notes.
 const OUTAGE: Duration = Duration::from_secs(8);
-/// Hosts of the region.
+/// Number of hosts of the region.
 const HOSTS: usize = 3;
 
 fn start(cluster: &Cluster, dir: &Path, i: usize) -> Daemon {
@@ -23,7 +23,7 @@
     block_on(caller.stream(&body(prompt, 5), None))
 }
 
-/// Hosts in the roster that is in force.
+/// Returns the number of hosts in the roster in force.
 fn roster(cluster: &Cluster) -> usize {
     let store = cluster.notes();
     let terms = block_on(async { store.terms(store.head().await.unwrap().row.terms).await });
@@ -44,7 +44,8 @@
     cluster.hosts = (0..HOSTS).map(|i| start(&cluster, dir.path(), i)).collect();
     let callers: Vec<_> = (0..HOSTS).map(|i| cluster.caller(i, MILL_KEY)).collect();
     wait_until("a full roster", || roster(&cluster) == HOSTS);
-    // Every host reads the head that names the roster; until then it serves by its reads alone.
+    // A host that has not yet read the head with the roster can serve only on the basis of its own reads. The
+    // wait lets every host read it.
     std::thread::sleep(Duration::from_millis(500));
     wait_until("all ready", || {
         callers.iter().all(|c| send_prompt(c, "warm up").status == 200)
--- a/components/entry/tests/path.rs
+++ b/components/entry/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path over real sockets, without and with faults.
+//! Requests through the whole path over real sockets, without and with faults.
 
 mod common;
 
@@ -178,7 +178,7 @@
     cluster.stop();
 }
 
-/// Streams that a host says are open.
+/// Returns the number of open streams that a host reports.
 fn open_streams(operators: &common::Caller) -> u64 {
     let req = operators
         .request(Method::GET, "/v1/state")
--- a/components/entry/tests/quarantine.rs
+++ b/components/entry/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! A request that crashes each target that runs it, over three hosts.
+//! A request that crashes every target it runs on, with three hosts.
 
 mod common;
 
@@ -13,15 +13,15 @@
 use smol::block_on;
 use standins::{Answer, EngineFaults, PlatformFaults};
 
-/// Text that crashes an engine.
+/// Prompt text that crashes an engine.
 const MARKER: &str = "crash-marker";
-/// Crashes that one request may cause, wherever and however often it is sent.
+/// Maximum number of crashes that a single request may cause, at all hosts and over all retries.
 const MAX_CRASHES: usize = 2;
-/// Drafts that run where the first crash happens.
+/// Number of bystanders: other drafts that run on the engine of the first crash.
 const BYSTANDERS: usize = 20;
-/// Tokens of a bystander's answer.
+/// Number of tokens of a bystander's answer.
 const TOKENS: u32 = 300;
-/// Time between two looks at a state that must come.
+/// Interval between checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 fn start(engines: usize, listed_engines: Option<usize>) -> Cluster {
@@ -79,7 +79,7 @@
     }
 }
 
-/// The problem of a request that may not run again.
+/// Checks that the answer is a quarantine problem with the given outcome.
 fn assert_quarantined(streamed: &StreamResult, outcome: Outcome) {
     let problem = streamed.problem.as_ref().expect("a problem");
     assert_eq!(
@@ -90,7 +90,7 @@
     assert_eq!(streamed.status, 422);
 }
 
-/// Sends the request to one host after the other.
+/// Sends the request to the hosts in turn and checks that each refuses it as not-run.
 async fn send_again(callers: &[Caller], bad: &serde_json::Value, times: usize) {
     for i in 0..times {
         let streamed = callers[i % callers.len()].stream(bad, None).await;
@@ -109,7 +109,7 @@
     record.drafts.iter().any(|d| d.prompt == digest)
 }
 
-/// Checks that bystanders are answered, also when they are sent again.
+/// Sends a bystander's draft and checks that its answer is whole.
 async fn check_bystander(caller: &Caller, i: usize) {
     let prompt = format!("bystander {i}");
     let expected = Answer::new(MODEL, 1, &prompt).text(TOKENS);
@@ -227,7 +227,7 @@
     cluster.stop();
 }
 
-/// Sends one marked request to all hosts at once; returns the crashes.
+/// Sends a request to all hosts at once; returns the number of crashes it causes.
 async fn send_at_once(cluster: &Cluster, callers: &[Caller], bad: &serde_json::Value) -> usize {
     let before = crashes(cluster);
     let ex = smol::LocalExecutor::new();
--- a/components/entry/tests/tls.rs
+++ b/components/entry/tests/tls.rs
@@ -1,4 +1,4 @@
-//! Callers over TLS.
+//! Callers that connect over TLS.
 
 mod common;
 
