--- a/components/entry/src/control/mod.rs
+++ b/components/entry/src/control/mod.rs
@@ -27,7 +27,7 @@
 use crate::outcomes::Records;
 use crate::quarantine::TableCommand;
 use crate::shared::Shared;
-use ::peers::{Arrived, Transport};
+use ::peers::{InboundMessage, Transport};
 use kept::KeptCache;
 use peers::PeerControl;
 use state::ControlState;
@@ -57,7 +57,7 @@
     /// Commands for the rows of suspects: requests that ran on targets that crashed.
     pub table_commands: async_channel::Receiver<TableCommand>,
     /// Connections to other entry hosts and the messages received over them; `None` without keys.
-    pub peers: Option<(Transport, async_channel::Receiver<Arrived>)>,
+    pub peers: Option<(Transport, async_channel::Receiver<InboundMessage>)>,
 }
 
 /// Runs the control thread until `stop` resolves.
--- a/components/entry/src/control/peers.rs
+++ b/components/entry/src/control/peers.rs
@@ -2,7 +2,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ::peers::{Arrived, Executor, PeerError, PeerTls, Transport, TransportOptions};
+use ::peers::{Executor, InboundMessage, PeerError, PeerTls, Transport, TransportOptions};
 use error_stack::Report;
 use errors::events;
 use membership::{
@@ -85,11 +85,11 @@
     }
 
     /// Applies a message from another host.
-    pub(crate) fn apply_arrived(&mut self, arrived: Arrived) -> Option<Members> {
+    pub(crate) fn apply_arrived(&mut self, arrived: InboundMessage) -> Option<Members> {
         match arrived {
-            Arrived::Heartbeat { from, heartbeat } => self.step(Input::Received { from, heartbeat }),
+            InboundMessage::Heartbeat { from, heartbeat } => self.step(Input::Received { from, heartbeat }),
             // No query type is defined yet; dropping the query closes its stream.
-            Arrived::Question { .. } => None,
+            InboundMessage::Query { .. } => None,
         }
     }
 
@@ -139,7 +139,7 @@
                     if let Some(transport) = &self.transport
                         && let Some(addr) = self.membership.peer_address(&to)
                     {
-                        transport.replace(&to, addr);
+                        transport.reconnect(&to, addr);
                     }
                 }
                 Effect::ViewChanged => changed = true,
@@ -238,7 +238,7 @@
 pub(crate) fn open(
     shared: &Shared,
     ex: Executor,
-) -> Result<Option<(Transport, async_channel::Receiver<Arrived>)>, Report<PeerError>> {
+) -> Result<Option<(Transport, async_channel::Receiver<InboundMessage>)>, Report<PeerError>> {
     let settings = &shared.settings;
     if settings.peers == config::PeerSettings::default() {
         return Ok(None);
@@ -260,7 +260,7 @@
 
 /// Forwards messages from other hosts to the control loop.
 pub(crate) async fn receive(
-    arrivals: async_channel::Receiver<Arrived>,
+    arrivals: async_channel::Receiver<InboundMessage>,
     tx: async_channel::Sender<ControlInput>,
 ) {
     while let Ok(arrived) = arrivals.recv().await {
--- a/components/entry/src/control/state.rs
+++ b/components/entry/src/control/state.rs
@@ -1,7 +1,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use ::peers::Arrived;
+use ::peers::InboundMessage;
 use errors::events;
 use metadata::{HostRole, HostState, ListedHost};
 use notes::EnforcedNotes;
@@ -37,7 +37,7 @@
     /// Load report of a target, or `None` if it did not answer.
     Load(TargetId, Option<LoadReport>),
     /// A message from another entry host.
-    Arrived(Arrived),
+    Arrived(InboundMessage),
     /// The tick interval has passed.
     Tick,
 }
--- a/components/http/src/client.rs
+++ b/components/http/src/client.rs
@@ -89,10 +89,10 @@
         match self.pool.take(addr) {
             Some(conn) => match self.exchange(addr, conn, req).await {
                 Ok(res) => Ok(res),
-                Err((e, Some(req))) if e.is_not_sent() => self.send_fresh(addr, req).await,
+                Err((e, Some(req))) if e.is_not_sent() => self.send_on_new_connection(addr, req).await,
                 Err((e, _)) => Err(Report::new(e)),
             },
-            None => self.send_fresh(addr, req).await,
+            None => self.send_on_new_connection(addr, req).await,
         }
     }
 
@@ -100,7 +100,7 @@
     ///
     /// # Errors
     /// As [`Client::send`].
-    pub async fn send_fresh(
+    pub async fn send_on_new_connection(
         &self,
         addr: SocketAddr,
         req: Request<Body>,
@@ -112,8 +112,8 @@
     }
 
     /// Drops the idle connections to an address.
-    pub fn forget(&self, addr: SocketAddr) {
-        self.pool.forget(addr);
+    pub fn close_idle(&self, addr: SocketAddr) {
+        self.pool.close_idle(addr);
     }
 
     /// Sends a JSON request and reads a JSON response with status 200.
--- a/components/http/src/pool.rs
+++ b/components/http/src/pool.rs
@@ -71,7 +71,7 @@
     }
 
     /// Drops every idle connection to an address.
-    pub(crate) fn forget(&self, addr: SocketAddr) {
+    pub(crate) fn close_idle(&self, addr: SocketAddr) {
         self.lock().remove(&addr);
     }
 
--- a/components/peers/src/error.rs
+++ b/components/peers/src/error.rs
@@ -19,10 +19,10 @@
     NotConnected,
     /// The other end has no valid key for its name.
     #[error("the other end has no valid key for its name")]
-    WrongKey,
+    InvalidCertificate,
     /// The connection broke.
     #[error("the connection broke")]
-    Broken,
+    ConnectionLost,
     /// The other end did not answer in time.
     #[error("the other end did not answer in time")]
     TimedOut,
--- a/components/peers/src/lib.rs
+++ b/components/peers/src/lib.rs
@@ -11,4 +11,4 @@
 pub use error::PeerError;
 pub use keys::{HostKeys, generate_keys, write_keys};
 pub use tls::PeerTls;
-pub use transport::{Arrived, Executor, MAX_STREAM_BYTES, Transport, TransportOptions};
+pub use transport::{Executor, InboundMessage, MAX_STREAM_BYTES, Transport, TransportOptions};
--- a/components/peers/src/name.rs
+++ b/components/peers/src/name.rs
@@ -32,19 +32,19 @@
     let bytes = stream
         .read_to_end(MAX_NAME_BYTES)
         .await
-        .change_context(PeerError::WrongKey)?;
-    let name = String::from_utf8(bytes).change_context(PeerError::WrongKey)?;
+        .change_context(PeerError::InvalidCertificate)?;
+    let name = String::from_utf8(bytes).change_context(PeerError::InvalidCertificate)?;
     check_name(connection, &name)?;
     Ok(name.into())
 }
 
 fn check_name(connection: &Connection, name: &str) -> Result<(), Report<PeerError>> {
-    let identity = connection.peer_identity().ok_or(PeerError::WrongKey)?;
+    let identity = connection.peer_identity().ok_or(PeerError::InvalidCertificate)?;
     let chain = identity
         .downcast::<Vec<CertificateDer<'static>>>()
-        .map_err(|_| PeerError::WrongKey)?;
-    let first = chain.first().ok_or(PeerError::WrongKey)?;
-    let certificate = ParsedCertificate::try_from(first).change_context(PeerError::WrongKey)?;
-    let name = ServerName::try_from(name).change_context(PeerError::WrongKey)?;
-    verify_server_name(&certificate, &name).change_context(PeerError::WrongKey)
+        .map_err(|_| PeerError::InvalidCertificate)?;
+    let first = chain.first().ok_or(PeerError::InvalidCertificate)?;
+    let certificate = ParsedCertificate::try_from(first).change_context(PeerError::InvalidCertificate)?;
+    let name = ServerName::try_from(name).change_context(PeerError::InvalidCertificate)?;
+    verify_server_name(&certificate, &name).change_context(PeerError::InvalidCertificate)
 }
--- a/components/peers/src/transport.rs
+++ b/components/peers/src/transport.rs
@@ -30,7 +30,7 @@
 
 /// What came from another host.
 #[derive(Debug)]
-pub enum Arrived {
+pub enum InboundMessage {
     /// A heartbeat.
     Heartbeat {
         /// The sender, by its certificate.
@@ -39,7 +39,7 @@
         heartbeat: Heartbeat,
     },
     /// A question on a stream.
-    Question {
+    Query {
         /// The sender, by its certificate.
         from: HostId,
         /// The question.
@@ -83,7 +83,7 @@
     /// Connections by host.
     links: Mutex<Links>,
     /// Takes what arrives.
-    arrived: async_channel::Sender<Arrived>,
+    arrived: async_channel::Sender<InboundMessage>,
     /// Ends all tasks when it is closed.
     stop: async_channel::Receiver<()>,
     /// Closes `stop`.
@@ -98,7 +98,7 @@
     pub fn bind(
         options: TransportOptions,
         ex: Executor,
-    ) -> Result<(Self, async_channel::Receiver<Arrived>), Report<PeerError>> {
+    ) -> Result<(Self, async_channel::Receiver<InboundMessage>), Report<PeerError>> {
         let runtime = JoinedRuntime::new(ex);
         let socket = std::net::UdpSocket::bind(options.listen).change_context(PeerError::Bind)?;
         let server = Some(options.tls.server.clone());
@@ -146,7 +146,7 @@
     }
 
     /// Opens a new connection to a host that went silent; the old one is closed when the new one stands.
-    pub fn replace(&self, to: &HostId, addr: SocketAddr) {
+    pub fn reconnect(&self, to: &HostId, addr: SocketAddr) {
         self.dial(to, addr);
     }
 
@@ -154,16 +154,21 @@
     ///
     /// # Errors
     /// [`PeerError`] if there is no connection, or no answer in time.
-    pub async fn ask(&self, to: &HostId, body: &[u8]) -> Result<Vec<u8>, Report<PeerError>> {
+    pub async fn query(&self, to: &HostId, body: &[u8]) -> Result<Vec<u8>, Report<PeerError>> {
         let connection = self.inner.links().open(to);
         let connection = connection.ok_or(PeerError::NotConnected)?;
         let exchange = async {
-            let (mut tx, mut rx) = connection.open_bi().await.change_context(PeerError::Broken)?;
-            tx.write_all(body).await.change_context(PeerError::Broken)?;
-            tx.finish().change_context(PeerError::Broken)?;
+            let (mut tx, mut rx) = connection
+                .open_bi()
+                .await
+                .change_context(PeerError::ConnectionLost)?;
+            tx.write_all(body)
+                .await
+                .change_context(PeerError::ConnectionLost)?;
+            tx.finish().change_context(PeerError::ConnectionLost)?;
             rx.read_to_end(MAX_STREAM_BYTES)
                 .await
-                .change_context(PeerError::Broken)
+                .change_context(PeerError::ConnectionLost)
         };
         exchange.or(timeout(ASK_TIMEOUT)).await
     }
@@ -288,7 +293,9 @@
     while let Ok(datagram) = connection.read_datagram().await {
         if let Ok(heartbeat) = Heartbeat::decode(&datagram) {
             let from = from.clone();
-            let _ = inner.arrived.try_send(Arrived::Heartbeat { from, heartbeat });
+            let _ = inner
+                .arrived
+                .try_send(InboundMessage::Heartbeat { from, heartbeat });
         }
     }
 }
@@ -309,15 +316,20 @@
     let body = rx
         .read_to_end(MAX_STREAM_BYTES)
         .await
-        .change_context(PeerError::Broken)?;
+        .change_context(PeerError::ConnectionLost)?;
     let (answer, answered) = async_channel::bounded(1);
-    let question = Arrived::Question {
+    let question = InboundMessage::Query {
         from: from.clone(),
         body,
         answer,
     };
-    inner.arrived.try_send(question).map_err(|_| PeerError::Broken)?;
-    let answer = answered.recv().await.change_context(PeerError::Broken)?;
-    tx.write_all(&answer).await.change_context(PeerError::Broken)?;
-    tx.finish().change_context(PeerError::Broken)
+    inner
+        .arrived
+        .try_send(question)
+        .map_err(|_| PeerError::ConnectionLost)?;
+    let answer = answered.recv().await.change_context(PeerError::ConnectionLost)?;
+    tx.write_all(&answer)
+        .await
+        .change_context(PeerError::ConnectionLost)?;
+    tx.finish().change_context(PeerError::ConnectionLost)
 }
--- a/components/peers/tests/keys.rs
+++ b/components/peers/tests/keys.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use membership::{Body, Heartbeat};
-use peers::{Arrived, HostKeys, PeerError, PeerTls, Transport, TransportOptions, generate_keys};
+use peers::{HostKeys, InboundMessage, PeerError, PeerTls, Transport, TransportOptions, generate_keys};
 use support::{executor, ip};
 
 fn bind(
@@ -14,7 +14,7 @@
     keys: &HostKeys,
     name: &str,
     number: usize,
-) -> (Transport, async_channel::Receiver<Arrived>) {
+) -> (Transport, async_channel::Receiver<InboundMessage>) {
     let options = TransportOptions {
         host: name.into(),
         listen: (ip(1, number), 0).into(),
@@ -28,7 +28,11 @@
 }
 
 /// Whether a heartbeat that `from` sends to `to` for two seconds arrives.
-async fn arrives(from: &Transport, to: (&str, &Transport), rx: &async_channel::Receiver<Arrived>) -> bool {
+async fn arrives(
+    from: &Transport,
+    to: (&str, &Transport),
+    rx: &async_channel::Receiver<InboundMessage>,
+) -> bool {
     for _ in 0..40 {
         from.send(&to.0.into(), Some(to.1.local_addr()), &probe());
         smol::Timer::after(Duration::from_millis(50)).await;
@@ -56,7 +60,7 @@
         assert!(!arrives(&stranger, ("entry-1", &one), &one_rx).await);
         assert!(!arrives(&one, ("entry-3", &stranger), &stranger_rx).await);
         assert!(!arrives(&pretender, ("entry-1", &one), &one_rx).await);
-        let asked = pretender.ask(&"entry-1".into(), b"x").await;
+        let asked = pretender.query(&"entry-1".into(), b"x").await;
         assert!(asked.is_err());
         assert!(one_rx.try_recv().is_err());
         assert!(pretender_rx.try_recv().is_err());
--- a/components/peers/tests/sockets.rs
+++ b/components/peers/tests/sockets.rs
@@ -147,7 +147,7 @@
         let rules = SharedRules::default();
         let (nodes, list) = start(&ex, 5, 3, &rules).await;
         until("all heard", || all_heard(&nodes, 2)).await;
-        let answer = nodes[0].transport.ask(&"entry-1".into(), b"for detail").await;
+        let answer = nodes[0].transport.query(&"entry-1".into(), b"for detail").await;
         assert_eq!(answer.expect("answer"), b"entry-0 asks for detail");
 
         let observed = |observation| Input::Observed {
--- a/components/peers/tests/support/node.rs
+++ b/components/peers/tests/support/node.rs
@@ -5,7 +5,7 @@
 use futures_lite::FutureExt;
 use membership::{Effect, Identity, Input, Membership, MembershipEvent, MembershipView};
 use metadata::ListedHost;
-use peers::{Arrived, HostKeys, PeerTls, Transport, TransportOptions};
+use peers::{HostKeys, InboundMessage, PeerTls, Transport, TransportOptions};
 use utils::{Clock, SystemClock};
 
 const TICK: Duration = Duration::from_millis(250);
@@ -27,7 +27,7 @@
 pub(crate) struct Ready {
     identity: Identity,
     transport: Transport,
-    arrivals: async_channel::Receiver<Arrived>,
+    arrivals: async_channel::Receiver<InboundMessage>,
 }
 
 impl Ready {
@@ -109,7 +109,7 @@
 impl Loop {
     async fn run(
         mut self,
-        arrivals: async_channel::Receiver<Arrived>,
+        arrivals: async_channel::Receiver<InboundMessage>,
         inputs: async_channel::Receiver<Input>,
         list: SharedList,
     ) {
@@ -133,10 +133,10 @@
                 None
             };
             match arrived.or(given).or(tick).await {
-                Some(Work::Arrived(Arrived::Heartbeat { from, heartbeat })) => {
+                Some(Work::Arrived(InboundMessage::Heartbeat { from, heartbeat })) => {
                     self.step(Input::Received { from, heartbeat });
                 }
-                Some(Work::Arrived(Arrived::Question { from, body, answer })) => {
+                Some(Work::Arrived(InboundMessage::Query { from, body, answer })) => {
                     let text = [from.as_bytes(), b" asks ", &body].concat();
                     let _ = answer.try_send(text);
                 }
@@ -156,7 +156,7 @@
                 }
                 Effect::Reconnect(to) => {
                     if let Some(addr) = self.membership.peer_address(&to) {
-                        self.transport.replace(&to, addr);
+                        self.transport.reconnect(&to, addr);
                     }
                 }
                 Effect::Log(event) => self.events.lock().expect("lock").push(event),
@@ -168,6 +168,6 @@
 }
 
 enum Work {
-    Arrived(Arrived),
+    Arrived(InboundMessage),
     Input(Input),
 }
--- a/components/targets/src/engine_http.rs
+++ b/components/targets/src/engine_http.rs
@@ -63,7 +63,7 @@
             .body(json_body(&req))
             .change_context(TargetError::Malformed)?;
         let sent = if fresh {
-            self.client.send_fresh(self.addr, http).await
+            self.client.send_on_new_connection(self.addr, http).await
         } else {
             self.client.send(self.addr, http).await
         };
--- a/components/targets/src/service_http.rs
+++ b/components/targets/src/service_http.rs
@@ -55,7 +55,7 @@
         Box::pin(async move {
             let http = self.request(&req)?;
             // A new connection: a call that must run once can not be repeated after a stale connection breaks.
-            let sent = self.client.send_fresh(self.addr, http).await;
+            let sent = self.client.send_on_new_connection(self.addr, http).await;
             let res = sent.map_err(into_target)?;
             check_identity(&req, &res)?;
             let status = res.status().as_u16();
