--- a/specs/src/at_most_once/mod.rs
+++ b/specs/src/at_most_once/mod.rs
@@ -1,4 +1,4 @@
-//! Calls that must not be repeated, over the ledger's own transition functions.
+//! Specification of calls that must run at most once. It runs the ledger's own transition functions.
 
 mod steps;
 mod world;
@@ -9,53 +9,54 @@
 use crate::Spec;
 pub use world::{CallMutant, World, WorldAction};
 
-/// Two hosts, a few tries of one call, and faults.
+/// Specification of one call that two hosts attempt a few times, with faults.
 #[derive(Debug, Clone)]
 pub struct AtMostOnce {
-    /// The daemon's rules.
+    /// The daemon's protocol of claims.
     protocol: Protocol,
-    /// Number of tries.
-    tries: u8,
-    /// Answers of the table service that may be lost or late.
+    /// Number of attempts to explore.
+    attempts: u8,
+    /// Number of the table service's answers that may be lost or late.
     losses: u8,
-    /// Hosts that may be replaced.
-    kills: u8,
-    /// A fault of the code.
+    /// Number of times that a host may be replaced.
+    replacements: u8,
+    /// Fault that is built into the model.
     mutant: Option<CallMutant>,
-    /// Whether the last try has another body.
+    /// Whether the last attempt has a different body.
     has_other_body: bool,
-    /// The only invariant that is checked, if not all are.
-    watched: Option<CallInvariant>,
+    /// The only invariant to check; `None` checks all.
+    only_invariant: Option<CallInvariant>,
 }
 
-/// What must hold in every state.
+/// A property that must hold in every state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallInvariant {
     /// The call runs at most once.
     RunsAtMostOnce,
-    /// A try whose caller was told `not-run` does not run.
+    /// An attempt whose caller received the outcome `not-run` does not run.
     NotRunIsTrue,
-    /// A caller is told `ran` only if the call ran.
+    /// A caller receives the outcome `ran` only if the call ran.
     RanIsTrue,
-    /// Nothing is sent after the claim's deadline.
+    /// No call is sent after its claim's deadline.
     SentInTime,
-    /// When all is quiet, no claim of a living host is left over.
-    NoClaimLeftOver,
+    /// Once no attempt, job, write or call is pending, no running host holds a claim.
+    NoLeakedClaim,
 }
 
 impl CallInvariant {
-    /// Every invariant.
+    /// All invariants.
     pub const ALL: [Self; 5] = [
         Self::RunsAtMostOnce,
         Self::NotRunIsTrue,
         Self::RanIsTrue,
         Self::SentInTime,
-        Self::NoClaimLeftOver,
+        Self::NoLeakedClaim,
     ];
 }
 
 impl AtMostOnce {
-    /// The specification with `tries` tries, `losses` lost answers and `kills` replaced hosts.
+    /// Builds the specification with at most `attempts` attempts, `losses` lost answers and `replacements`
+    /// replaced hosts.
     ///
     /// ```
     /// use specs::{AtMostOnce, explore};
@@ -66,32 +67,32 @@
     /// ```
     ///
     /// # Errors
-    /// As [`Protocol::load`].
-    pub fn new(tries: u8, losses: u8, kills: u8) -> Result<Self, Report<LedgerError>> {
+    /// Fails as [`Protocol::load`] does.
+    pub fn new(attempts: u8, losses: u8, replacements: u8) -> Result<Self, Report<LedgerError>> {
         Ok(Self {
             protocol: Protocol::load()?,
-            tries,
+            attempts,
             losses,
-            kills,
+            replacements,
             mutant: None,
             has_other_body: false,
-            watched: None,
+            only_invariant: None,
         })
     }
 
-    /// The same with a fault of the code.
+    /// Builds a fault into the model.
     pub fn with_mutant(mut self, mutant: CallMutant) -> Self {
         self.mutant = Some(mutant);
         self
     }
 
-    /// The same, but only one invariant is checked.
-    pub fn watching(mut self, invariant: CallInvariant) -> Self {
-        self.watched = Some(invariant);
+    /// Restricts the check to one invariant.
+    pub fn checking_only(mut self, invariant: CallInvariant) -> Self {
+        self.only_invariant = Some(invariant);
         self
     }
 
-    /// The same with another body in the last try.
+    /// Gives the last attempt a different body.
     pub fn with_other_body(mut self) -> Self {
         self.has_other_body = true;
         self
@@ -104,19 +105,19 @@
     type Invariant = CallInvariant;
 
     fn initial(&self) -> Vec<World> {
-        vec![World::new(self.losses, self.kills)]
+        vec![World::new(self.losses, self.replacements)]
     }
 
     fn steps(&self, state: &World) -> Vec<(WorldAction, World)> {
-        steps::all(self, state)
+        steps::successors(self, state)
     }
 
     fn violated(&self, state: &World) -> Option<CallInvariant> {
-        match self.watched {
-            Some(invariant) => state.breaks(invariant).then_some(invariant),
+        match self.only_invariant {
+            Some(invariant) => state.violates(invariant).then_some(invariant),
             None => CallInvariant::ALL
                 .into_iter()
-                .find(|invariant| state.breaks(*invariant)),
+                .find(|invariant| state.violates(*invariant)),
         }
     }
 }
--- a/specs/src/at_most_once/steps.rs
+++ b/specs/src/at_most_once/steps.rs
@@ -6,75 +6,75 @@
 };
 use utils::Monotonic;
 
-use super::world::{HOSTS, LAST_MOMENT, OpenTry};
+use super::world::{ActiveAttempt, HOSTS, MAX_TIME};
 use super::{AtMostOnce, CallMutant, World, WorldAction};
 
-/// Time for which a claim is valid, in milliseconds.
+/// Validity of a claim, in milliseconds; one millisecond is one step of the clock.
 const VALID_MS: u64 = 1;
 /// Key of the call's row.
 const ROW: &str = "claim";
 
-/// Every step that is possible.
-pub(crate) fn all(spec: &AtMostOnce, world: &World) -> Vec<(WorldAction, World)> {
-    let actions = offered(spec, world);
+/// Returns every possible step with the state that it leads to.
+pub(crate) fn successors(spec: &AtMostOnce, world: &World) -> Vec<(WorldAction, World)> {
+    let actions = enabled_actions(spec, world);
     let taken = actions.into_iter().filter_map(|action| {
         let mut next = world.clone();
-        take(spec, &mut next, &action)?;
+        apply(spec, &mut next, &action)?;
         next.normalize();
         (next != *world).then_some((action, next))
     });
     taken.collect()
 }
 
-fn offered(spec: &AtMostOnce, world: &World) -> Vec<WorldAction> {
+fn enabled_actions(spec: &AtMostOnce, world: &World) -> Vec<WorldAction> {
     let mut actions = Vec::new();
     for host in 0..HOSTS {
-        offer_host(spec, world, host, &mut actions);
+        push_host_actions(spec, world, host, &mut actions);
     }
-    for index in 0..world.late.len() {
+    for index in 0..world.late_writes.len() {
         for is_duplicate in [false, true] {
             actions.push(WorldAction::LateWrite { index, is_duplicate });
         }
     }
     actions.extend(
         world
-            .arriving
+            .in_flight
             .iter()
             .map(|number| WorldAction::Run { number: *number }),
     );
-    if world.now < LAST_MOMENT {
+    if world.now < MAX_TIME {
         actions.push(WorldAction::Tick);
     }
     actions
 }
 
-fn offer_host(spec: &AtMostOnce, world: &World, host: usize, actions: &mut Vec<WorldAction>) {
-    match &world.hosts[host].open {
-        Some(open) => offer_try(world, host, &open.next, actions),
-        None if world.tries < spec.tries => actions.push(WorldAction::Arrive {
+fn push_host_actions(spec: &AtMostOnce, world: &World, host: usize, actions: &mut Vec<WorldAction>) {
+    match &world.hosts[host].attempt {
+        Some(attempt) => push_attempt_actions(world, host, &attempt.next, actions),
+        None if world.attempts < spec.attempts => actions.push(WorldAction::Arrive {
             host,
-            number: world.tries,
+            number: world.attempts,
         }),
         None => {}
     }
     if !world.hosts[host].jobs.is_empty() {
-        actions.push(WorldAction::Job {
+        actions.push(WorldAction::RunJob {
             host,
             is_answer_lost: false,
         });
         if world.losses > 0 {
-            actions.push(WorldAction::Job {
+            actions.push(WorldAction::RunJob {
                 host,
                 is_answer_lost: true,
             });
         }
     }
-    if world.kills > 0 {
+    if world.replacements > 0 {
         actions.push(WorldAction::Replace { host });
     }
 }
 
-fn offer_try(world: &World, host: usize, next: &Effect, actions: &mut Vec<WorldAction>) {
+fn push_attempt_actions(world: &World, host: usize, next: &Effect, actions: &mut Vec<WorldAction>) {
     match next {
         Effect::Insert(_) => {
             actions.push(WorldAction::Write { host });
@@ -90,86 +90,86 @@
             }
             actions.push(WorldAction::StoreFails { host });
         }
-        Effect::Hold => actions.extend([WorldAction::Send { host }, WorldAction::GiveUp { host }]),
+        Effect::Hold => actions.extend([WorldAction::Send { host }, WorldAction::Cancel { host }]),
         Effect::Dispatch => actions.extend([
             WorldAction::Answer { host },
             WorldAction::RefusedByTarget { host },
             WorldAction::LoseAnswer { host },
         ]),
         Effect::Ask(_) => {
-            for can_say in [false, true] {
-                actions.push(WorldAction::Ask { host, can_say });
+            for can_answer in [false, true] {
+                actions.push(WorldAction::QueryTarget { host, can_answer });
             }
         }
         Effect::Tell(_) => {}
     }
 }
 
-/// Takes a step; `None` if it is not possible.
-fn take(spec: &AtMostOnce, world: &mut World, action: &WorldAction) -> Option<()> {
+/// Applies a step; returns `None` if the step is not possible.
+fn apply(spec: &AtMostOnce, world: &mut World, action: &WorldAction) -> Option<()> {
     match *action {
         WorldAction::Arrive { host, number } => arrive(spec, world, host, number),
         WorldAction::Write { host } => {
             let result = write(spec, world, host)?;
-            input(spec, world, host, result)
+            apply_input(spec, world, host, result)
         }
         WorldAction::WriteThenLose { host } => {
             write(spec, world, host)?;
-            lose(spec, world, host)
+            lose_write_answer(spec, world, host)
         }
         WorldAction::Delay { host } => {
-            let Effect::Insert(write) = &world.hosts[host].open.as_ref()?.next else {
+            let Effect::Insert(write) = &world.hosts[host].attempt.as_ref()?.next else {
                 return None;
             };
-            world.late.push(write.clone());
-            lose(spec, world, host)
+            world.late_writes.push(write.clone());
+            lose_write_answer(spec, world, host)
         }
-        WorldAction::StoreFails { host } => input(spec, world, host, Input::StoreFailed),
+        WorldAction::StoreFails { host } => apply_input(spec, world, host, Input::StoreFailed),
         WorldAction::Read { host, is_suspected } => {
             let found = world.found(is_suspected);
-            input(spec, world, host, Input::Read(found))
+            apply_input(spec, world, host, Input::Read(found))
         }
         WorldAction::Send { host } => send(spec, world, host),
-        WorldAction::GiveUp { host } => input(spec, world, host, Input::GiveUp),
+        WorldAction::Cancel { host } => apply_input(spec, world, host, Input::GiveUp),
         WorldAction::Answer { host } => {
-            let number = world.hosts[host].open.as_ref()?.number;
-            (world.ran[usize::from(number)] > 0).then_some(())?;
-            input(spec, world, host, Input::Answered(reply()))
+            let number = world.hosts[host].attempt.as_ref()?.number;
+            (world.run_counts[usize::from(number)] > 0).then_some(())?;
+            apply_input(spec, world, host, Input::Answered(reply()))
         }
         WorldAction::RefusedByTarget { host } => {
-            let number = world.hosts[host].open.as_ref()?.number;
-            let at = world.arriving.iter().position(|n| *n == number)?;
-            world.arriving.remove(at);
-            input(spec, world, host, Input::NotRun)
+            let number = world.hosts[host].attempt.as_ref()?.number;
+            let at = world.in_flight.iter().position(|n| *n == number)?;
+            world.in_flight.remove(at);
+            apply_input(spec, world, host, Input::NotRun)
         }
         WorldAction::LoseAnswer { host } => lose_answer(spec, world, host),
-        WorldAction::Ask { host, can_say } => {
-            let says = can_say && world.has_run();
-            let answer = if says {
+        WorldAction::QueryTarget { host, can_answer } => {
+            let answers = can_answer && world.has_run();
+            let answer = if answers {
                 Input::TargetRan(reply())
             } else {
                 Input::TargetOpen
             };
-            input(spec, world, host, answer)
+            apply_input(spec, world, host, answer)
         }
         WorldAction::LateWrite { index, is_duplicate } => {
-            let write = world.late[index].clone();
+            let write = world.late_writes[index].clone();
             if !is_duplicate {
-                world.late.remove(index);
+                world.late_writes.remove(index);
             }
             world.apply(&write, spec.mutant);
             Some(())
         }
-        WorldAction::Job { host, is_answer_lost } => job(spec, world, host, is_answer_lost),
+        WorldAction::RunJob { host, is_answer_lost } => run_job(spec, world, host, is_answer_lost),
         WorldAction::Run { number } => {
-            world.arriving.retain(|n| *n != number);
-            world.ran[usize::from(number)] += 1;
+            world.in_flight.retain(|n| *n != number);
+            world.run_counts[usize::from(number)] += 1;
             Some(())
         }
         WorldAction::Replace { host } => {
-            world.kills -= 1;
+            world.replacements -= 1;
             world.hosts[host].incarnation += 1;
-            world.hosts[host].open = None;
+            world.hosts[host].attempt = None;
             world.hosts[host].jobs.clear();
             Some(())
         }
@@ -181,8 +181,8 @@
 }
 
 fn arrive(spec: &AtMostOnce, world: &mut World, host: usize, number: u8) -> Option<()> {
-    world.tries += 1;
-    let is_other = spec.has_other_body && number + 1 == spec.tries;
+    world.attempts += 1;
+    let is_other = spec.has_other_body && number + 1 == spec.attempts;
     let row = ClaimRow {
         attempt: AttemptId(u128::from(number)),
         holder: Holder {
@@ -198,9 +198,9 @@
     let mut call = spec.protocol.start(ROW, row);
     let step = spec
         .protocol
-        .step(&mut call, Input::Start, moment(world.now))
+        .step(&mut call, Input::Start, model_time(world.now))
         .ok()?;
-    world.hosts[host].open = Some(OpenTry {
+    world.hosts[host].attempt = Some(ActiveAttempt {
         number,
         call,
         next: step.effect,
@@ -208,9 +208,9 @@
     Some(())
 }
 
-/// Makes the write that a try waits for.
+/// Applies the write that a host's attempt waits for and returns the input for its answer.
 fn write(spec: &AtMostOnce, world: &mut World, host: usize) -> Option<Input> {
-    let Effect::Insert(write) = world.hosts[host].open.as_ref()?.next.clone() else {
+    let Effect::Insert(write) = world.hosts[host].attempt.as_ref()?.next.clone() else {
         return None;
     };
     match world.apply(&write, spec.mutant) {
@@ -220,47 +220,47 @@
     }
 }
 
-fn lose(spec: &AtMostOnce, world: &mut World, host: usize) -> Option<()> {
+fn lose_write_answer(spec: &AtMostOnce, world: &mut World, host: usize) -> Option<()> {
     world.losses -= 1;
     match spec.mutant {
-        Some(CallMutant::SkipReadBack) => input(spec, world, host, Input::Applied(world.version)),
-        _ => input(spec, world, host, Input::Lost),
+        Some(CallMutant::SkipReadBack) => apply_input(spec, world, host, Input::Applied(world.version)),
+        _ => apply_input(spec, world, host, Input::Lost),
     }
 }
 
 fn send(spec: &AtMostOnce, world: &mut World, host: usize) -> Option<()> {
-    let open = world.hosts[host].open.as_mut()?;
+    let attempt = world.hosts[host].attempt.as_mut()?;
     let now = match spec.mutant {
         Some(CallMutant::DispatchAfterLapse) => Monotonic::ZERO,
-        _ => moment(world.now),
+        _ => model_time(world.now),
     };
-    let is_late = open
+    let is_late = attempt
         .call
         .deadline()
-        .is_none_or(|deadline| moment(world.now) >= deadline);
-    let number = open.number;
-    take_step(spec, world, host, Input::Send, now)?;
-    let open = world.hosts[host].open.as_ref();
-    if open.is_some_and(|open| open.next == Effect::Dispatch) {
-        world.arriving.push(number);
+        .is_none_or(|deadline| model_time(world.now) >= deadline);
+    let number = attempt.number;
+    step_attempt(spec, world, host, Input::Send, now)?;
+    let attempt = world.hosts[host].attempt.as_ref();
+    if attempt.is_some_and(|attempt| attempt.next == Effect::Dispatch) {
+        world.in_flight.push(number);
         world.is_sent_late |= is_late;
     }
     Some(())
 }
 
 fn lose_answer(spec: &AtMostOnce, world: &mut World, host: usize) -> Option<()> {
-    let number = world.hosts[host].open.as_ref()?.number;
+    let number = world.hosts[host].attempt.as_ref()?.number;
     match spec.mutant {
-        Some(CallMutant::RetryAfterDispatch) if !world.arriving.contains(&number) => {
-            world.arriving.push(number);
+        Some(CallMutant::RetryAfterDispatch) if !world.in_flight.contains(&number) => {
+            world.in_flight.push(number);
             Some(())
         }
-        Some(CallMutant::GuessNotRun) => input(spec, world, host, Input::NotRun),
-        _ => input(spec, world, host, Input::AnswerLost),
+        Some(CallMutant::GuessNotRun) => apply_input(spec, world, host, Input::NotRun),
+        _ => apply_input(spec, world, host, Input::AnswerLost),
     }
 }
 
-fn input(spec: &AtMostOnce, world: &mut World, host: usize, input: Input) -> Option<()> {
+fn apply_input(spec: &AtMostOnce, world: &mut World, host: usize, input: Input) -> Option<()> {
     if spec.mutant == Some(CallMutant::AbandonOthers)
         && let Input::Refused(Some(found)) = &input
         && found.row.state == ClaimState::Claimed
@@ -268,28 +268,34 @@
         let job = Job::abandon(&ROW.to_owned(), &found.row, Some(found.version));
         world.hosts[host].jobs.push(job);
     }
-    let now = moment(world.now);
-    take_step(spec, world, host, input, now)
+    let now = model_time(world.now);
+    step_attempt(spec, world, host, input, now)
 }
 
-fn take_step(spec: &AtMostOnce, world: &mut World, host: usize, input: Input, now: Monotonic) -> Option<()> {
-    let open = world.hosts[host].open.as_mut()?;
-    let step = spec.protocol.step(&mut open.call, input, now).ok()?;
-    let number = usize::from(open.number);
-    open.next = step.effect.clone();
+fn step_attempt(
+    spec: &AtMostOnce,
+    world: &mut World,
+    host: usize,
+    input: Input,
+    now: Monotonic,
+) -> Option<()> {
+    let attempt = world.hosts[host].attempt.as_mut()?;
+    let step = spec.protocol.step(&mut attempt.call, input, now).ok()?;
+    let number = usize::from(attempt.number);
+    attempt.next = step.effect.clone();
     world.hosts[host].jobs.extend(step.job);
     if let Effect::Tell(verdict) = step.effect {
-        tell(world, host, number, &verdict);
+        report_outcome(world, host, number, &verdict);
     }
     Some(())
 }
 
-fn tell(world: &mut World, host: usize, number: usize, verdict: &Verdict) {
-    world.told[number] = Some(verdict.outcome());
-    world.hosts[host].open = None;
+fn report_outcome(world: &mut World, host: usize, number: usize, verdict: &Verdict) {
+    world.reported[number] = Some(verdict.outcome());
+    world.hosts[host].attempt = None;
 }
 
-fn job(spec: &AtMostOnce, world: &mut World, host: usize, is_answer_lost: bool) -> Option<()> {
+fn run_job(spec: &AtMostOnce, world: &mut World, host: usize, is_answer_lost: bool) -> Option<()> {
     let mut job = world.hosts[host].jobs.remove(0);
     let mut result = world.apply(job.write(), spec.mutant);
     if is_answer_lost {
@@ -310,6 +316,6 @@
     }
 }
 
-fn moment(now: u64) -> Monotonic {
+fn model_time(now: u64) -> Monotonic {
     Duration::from_millis(now)
 }
--- a/specs/src/at_most_once/world.rs
+++ b/specs/src/at_most_once/world.rs
@@ -6,142 +6,142 @@
 
 /// Number of entry hosts.
 pub(crate) const HOSTS: usize = 2;
-/// Most tries.
-pub(crate) const MAX_TRIES: usize = 3;
-/// Last moment of the clock; claims are valid for one step of it.
-pub(crate) const LAST_MOMENT: u64 = 2;
+/// Maximum number of attempts.
+pub(crate) const MAX_ATTEMPTS: usize = 3;
+/// Last value of the clock, in steps; a claim is valid for one step.
+pub(crate) const MAX_TIME: u64 = 2;
 
-/// A fault of the code that the exploration must find.
+/// A fault built into the model, which the exploration must find.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallMutant {
-    /// A lost answer counts as a claim.
+    /// A host takes a lost answer to its write as a granted claim.
     SkipReadBack,
-    /// The deadline is not checked before the first byte.
+    /// A host does not check the deadline before it sends the first byte.
     DispatchAfterLapse,
-    /// A claim that another host holds is given up for it.
+    /// A host abandons a claim that another host holds.
     AbandonOthers,
-    /// A call whose answer is lost is sent again.
+    /// A host sends a call again after its answer is lost.
     RetryAfterDispatch,
-    /// The row of a claim that is given up is removed.
+    /// The row of an abandoned claim is deleted.
     DeleteAbandoned,
-    /// The caller is told `not-run` when the target's answer is lost.
+    /// A host reports `not-run` when the target's answer is lost.
     GuessNotRun,
 }
 
-/// Everything that decides what happens next.
+/// State of the model.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct World {
-    /// The call's row with its version.
+    /// Row of the call and its version.
     pub(crate) row: Option<(ClaimRow, RowVersion)>,
-    /// Version of the last write.
+    /// Version that the last write produced.
     pub(crate) version: RowVersion,
-    /// Entry hosts.
+    /// The entry hosts.
     pub(crate) hosts: [Host; HOSTS],
-    /// Writes whose sender has stopped waiting.
-    pub(crate) late: Vec<RowWrite>,
-    /// Calls on their way to the target.
-    pub(crate) arriving: Vec<u8>,
-    /// Times that each try ran.
-    pub(crate) ran: [u8; MAX_TRIES],
-    /// What each try's caller was told.
-    pub(crate) told: [Option<Outcome>; MAX_TRIES],
+    /// Writes that may still take effect although their sender no longer waits for the answer.
+    pub(crate) late_writes: Vec<RowWrite>,
+    /// Attempts whose call was sent and has not reached the target.
+    pub(crate) in_flight: Vec<u8>,
+    /// Number of times that each attempt ran.
+    pub(crate) run_counts: [u8; MAX_ATTEMPTS],
+    /// Outcome that the caller of each attempt received.
+    pub(crate) reported: [Option<Outcome>; MAX_ATTEMPTS],
     /// Whether a call was sent after its claim's deadline.
     pub(crate) is_sent_late: bool,
-    /// The clock.
+    /// The clock, in steps.
     pub(crate) now: u64,
-    /// Tries so far.
-    pub(crate) tries: u8,
-    /// Losses left.
+    /// Number of attempts so far.
+    pub(crate) attempts: u8,
+    /// Number of answers that may still be lost or late.
     pub(crate) losses: u8,
-    /// Replacements left.
-    pub(crate) kills: u8,
+    /// Number of times that a host may still be replaced.
+    pub(crate) replacements: u8,
 }
 
 /// An entry host.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct Host {
-    /// The run of the process.
+    /// Incarnation of the process.
     pub(crate) incarnation: u64,
-    /// The try under way.
-    pub(crate) open: Option<OpenTry>,
-    /// Background writes.
+    /// The attempt in progress.
+    pub(crate) attempt: Option<ActiveAttempt>,
+    /// Pending background writes.
     pub(crate) jobs: Vec<Job>,
 }
 
-/// A try under way.
+/// An attempt in progress.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub(crate) struct OpenTry {
-    /// Number of the try.
+pub(crate) struct ActiveAttempt {
+    /// Number of the attempt.
     pub(crate) number: u8,
-    /// The daemon's state of it.
+    /// The daemon's state of the attempt.
     pub(crate) call: Try,
-    /// What it does next.
+    /// Effect to carry out next.
     pub(crate) next: Effect,
 }
 
-/// One step.
+/// A step of the model.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WorldAction {
     /// The caller sends the call to a host.
     Arrive { host: usize, number: u8 },
-    /// A write takes effect and is answered.
+    /// A write takes effect and its answer arrives.
     Write { host: usize },
     /// A write takes effect and its answer is lost.
     WriteThenLose { host: usize },
-    /// The sender stops waiting for a write that may take effect later.
+    /// The sender stops waiting for a write, which may take effect later.
     Delay { host: usize },
-    /// The table service is out of reach.
+    /// The table service is unreachable.
     StoreFails { host: usize },
-    /// The row is read.
+    /// A host reads the row; with `is_suspected` it takes the claim's holder for failed.
     Read { host: usize, is_suspected: bool },
-    /// The first byte is about to be sent.
+    /// A host is about to send the first byte.
     Send { host: usize },
-    /// The caller is gone before anything was sent.
-    GiveUp { host: usize },
-    /// The answer comes, or the target shows that it did not run the call.
+    /// The caller disconnects before anything was sent.
+    Cancel { host: usize },
+    /// The target's answer arrives.
     Answer { host: usize },
     /// The target refuses the call.
     RefusedByTarget { host: usize },
-    /// The connection breaks.
+    /// The connection to the target breaks and the answer is lost.
     LoseAnswer { host: usize },
-    /// The target is asked; `can_say` tells whether it remembers.
-    Ask { host: usize, can_say: bool },
-    /// A late write reaches the table service; a duplicate stays under way.
+    /// A host queries the target; `can_answer` states whether the target still has a record of the call.
+    QueryTarget { host: usize, can_answer: bool },
+    /// A late write takes effect; with `is_duplicate` it stays pending and may take effect again.
     LateWrite { index: usize, is_duplicate: bool },
-    /// A background write is made.
-    Job { host: usize, is_answer_lost: bool },
+    /// A host makes a background write.
+    RunJob { host: usize, is_answer_lost: bool },
     /// The target runs a call.
     Run { number: u8 },
-    /// The process ends and a new one takes its name.
+    /// A host's process ends and a new process with the same name starts.
     Replace { host: usize },
-    /// Time passes; all hosts may have been paused.
+    /// The clock advances by one step, also while hosts are paused.
     Tick,
 }
 
 impl World {
-    pub(crate) fn new(losses: u8, kills: u8) -> Self {
+    pub(crate) fn new(losses: u8, replacements: u8) -> Self {
         let host = Host {
             incarnation: 0,
-            open: None,
+            attempt: None,
             jobs: Vec::new(),
         };
         Self {
             row: None,
             version: 0,
             hosts: [host.clone(), host],
-            late: Vec::new(),
-            arriving: Vec::new(),
-            ran: [0; MAX_TRIES],
-            told: [None; MAX_TRIES],
+            late_writes: Vec::new(),
+            in_flight: Vec::new(),
+            run_counts: [0; MAX_ATTEMPTS],
+            reported: [None; MAX_ATTEMPTS],
             is_sent_late: false,
             now: 0,
-            tries: 0,
+            attempts: 0,
             losses,
-            kills,
+            replacements,
         }
     }
 
-    /// Makes a conditional write.
+    /// Applies a conditional write to the row.
     pub(crate) fn apply(&mut self, write: &RowWrite, mutant: Option<CallMutant>) -> WriteResult {
         let version = self.row.as_ref().map(|(_, version)| *version);
         let holds = match write.expect {
@@ -159,7 +159,7 @@
         WriteResult::Applied(self.version)
     }
 
-    /// The row as a host reads it; a living holder may be suspected wrongly.
+    /// Returns the row as a host reads it; with `is_suspected` a running holder appears failed.
     pub(crate) fn found(&self, is_suspected: bool) -> Option<Found> {
         let (row, version) = self.row.as_ref()?;
         Some(Found {
@@ -174,48 +174,48 @@
         host.incarnation == row.holder.incarnation
     }
 
-    /// Whether an invariant does not hold.
-    pub(crate) fn breaks(&self, invariant: CallInvariant) -> bool {
-        let runs: u8 = self.ran.iter().sum();
+    /// Returns whether the state violates an invariant.
+    pub(crate) fn violates(&self, invariant: CallInvariant) -> bool {
+        let runs: u8 = self.run_counts.iter().sum();
         match invariant {
             CallInvariant::RunsAtMostOnce => runs > 1,
-            CallInvariant::NotRunIsTrue => (0..MAX_TRIES).any(|i| self.is_false_not_run(i)),
-            CallInvariant::RanIsTrue => runs == 0 && self.told.contains(&Some(Outcome::Ran)),
+            CallInvariant::NotRunIsTrue => (0..MAX_ATTEMPTS).any(|i| self.is_false_not_run(i)),
+            CallInvariant::RanIsTrue => runs == 0 && self.reported.contains(&Some(Outcome::Ran)),
             CallInvariant::SentInTime => self.is_sent_late,
-            CallInvariant::NoClaimLeftOver => self.has_claim_left_over(),
+            CallInvariant::NoLeakedClaim => self.has_leaked_claim(),
         }
     }
 
     fn is_false_not_run(&self, i: usize) -> bool {
-        let may_run = self.ran[i] > 0 || self.arriving.contains(&(i as u8));
-        self.told[i] == Some(Outcome::NotRun) && may_run
+        let may_run = self.run_counts[i] > 0 || self.in_flight.contains(&(i as u8));
+        self.reported[i] == Some(Outcome::NotRun) && may_run
     }
 
-    fn has_claim_left_over(&self) -> bool {
-        let is_busy = |host: &Host| host.open.is_some() || !host.jobs.is_empty();
-        if self.hosts.iter().any(is_busy) || !self.late.is_empty() || !self.arriving.is_empty() {
+    fn has_leaked_claim(&self) -> bool {
+        let is_busy = |host: &Host| host.attempt.is_some() || !host.jobs.is_empty();
+        if self.hosts.iter().any(is_busy) || !self.late_writes.is_empty() || !self.in_flight.is_empty() {
             return false;
         }
         let left = self.row.as_ref().map(|(row, _)| row);
         left.is_some_and(|row| row.state == ClaimState::Claimed && self.is_alive(row))
     }
 
-    /// Names of hosts are their numbers.
+    /// Returns the name of a host, which is its number.
     pub(crate) fn host_name(host: usize) -> String {
         host.to_string()
     }
 
-    /// Whether any try ran.
+    /// Returns whether any attempt ran.
     pub(crate) fn has_run(&self) -> bool {
-        self.ran.iter().any(|runs| *runs > 0)
+        self.run_counts.iter().any(|runs| *runs > 0)
     }
 
-    /// Makes states equal that differ only in the order of what has none.
+    /// Sorts the collections whose order has no meaning, so that equivalent states compare equal.
     pub(crate) fn normalize(&mut self) {
-        self.arriving.sort_unstable();
-        self.late
+        self.in_flight.sort_unstable();
+        self.late_writes
             .sort_by_cached_key(|write| (write.row.attempt, format!("{:?}", write.expect)));
-        self.late.dedup();
+        self.late_writes.dedup();
     }
 }
 
--- a/specs/src/explore.rs
+++ b/specs/src/explore.rs
@@ -4,52 +4,52 @@
 
 use pathfinding::directed::bfs::bfs;
 
-/// A specification with finitely many states.
+/// A specification with a finite number of states.
 pub trait Spec {
-    /// Everything that decides what happens next.
+    /// Complete state of the model; it determines every possible step.
     type State: Clone + Eq + Hash + fmt::Debug;
-    /// One step, also a fault.
+    /// A step of the model: progress of a process, passage of time or a fault.
     type Action: Clone + fmt::Debug;
-    /// Names what must hold in every state.
+    /// A property that must hold in every state.
     type Invariant: Copy + Eq + fmt::Debug;
 
-    /// The states that a run may begin with.
+    /// Returns the initial states.
     fn initial(&self) -> Vec<Self::State>;
 
-    /// Every step that is possible in a state, with the state that it leads to.
+    /// Returns every step that is possible in a state, each with the state that it leads to.
     fn steps(&self, state: &Self::State) -> Vec<(Self::Action, Self::State)>;
 
-    /// The first invariant that does not hold in a state.
+    /// Returns the first invariant that a state violates.
     fn violated(&self, state: &Self::State) -> Option<Self::Invariant>;
 }
 
-/// What the exploration of a specification found.
+/// Result of the exploration of a specification.
 #[derive(Debug, Clone)]
 pub enum Explored<S: Spec> {
-    /// All reachable states hold every invariant.
+    /// Every invariant holds in all reachable states.
     Holds {
         /// Number of reachable states.
         states: usize,
     },
-    /// The shortest run to a state that breaks an invariant.
+    /// The shortest run to a state that violates an invariant.
     Broken(Counterexample<S>),
 }
 
-/// A run, step by step.
+/// A run that ends in a state that violates an invariant.
 #[derive(Debug, Clone)]
 pub struct Counterexample<S: Spec> {
-    /// What does not hold in the last state.
+    /// Invariant that the last state violates.
     pub invariant: S::Invariant,
-    /// State that the run begins with.
+    /// First state of the run.
     pub initial: S::State,
-    /// Steps with the states that they lead to.
+    /// Steps of the run, each with the state that it leads to.
     pub steps: Vec<(S::Action, S::State)>,
 }
 
-/// Either the start before a specification's initial states, or one of its states.
+/// Node of the search graph: `None` is the root before the initial states.
 type Node<S> = Option<<S as Spec>::State>;
 
-/// Visits every reachable state, breadth first, until one breaks an invariant.
+/// Visits every reachable state, breadth first, until a state violates an invariant.
 ///
 /// ```
 /// use specs::{Explored, Spec, explore};
@@ -97,13 +97,13 @@
     }
 }
 
-/// The fewest steps to a state that `is_wanted`; `None` if no reachable state is. Shows that a specification can get
-/// anywhere at all.
+/// Returns the number of steps on a shortest path to a state for which `is_wanted` returns true, or `None` if
+/// no reachable state does. Tests use it to show that a specification can make progress.
 pub fn fewest_steps<S: Spec>(spec: &S, is_wanted: impl Fn(&S::State) -> bool) -> Option<usize> {
     search(spec, &Cell::new(0), is_wanted).map(|path| path.len() - 1)
 }
 
-/// Shortest path of states to a wanted one; counts the states that were expanded.
+/// Returns the shortest path to a state for which `is_wanted` returns true, and counts the expanded states.
 fn search<S: Spec>(
     spec: &S,
     expanded: &Cell<usize>,
@@ -125,7 +125,7 @@
     Some(path.into_iter().flatten().collect())
 }
 
-/// Names the steps between the states of a path.
+/// Builds a counterexample from a path of states by finding the step between each pair of states.
 fn replay<S: Spec>(spec: &S, path: &[S::State], invariant: S::Invariant) -> Counterexample<S> {
     let steps = path.windows(2).filter_map(|pair| {
         let mut taken = spec.steps(&pair[0]).into_iter();
@@ -139,7 +139,7 @@
 }
 
 impl<S: Spec> Explored<S> {
-    /// Number of states if every invariant holds.
+    /// Returns the number of reachable states, or `None` if an invariant is violated.
     pub fn states(&self) -> Option<usize> {
         match self {
             Self::Holds { states } => Some(*states),
@@ -147,7 +147,7 @@
         }
     }
 
-    /// The invariant that is broken, if one is.
+    /// Returns the violated invariant, if there is one.
     pub fn broken(&self) -> Option<S::Invariant> {
         match self {
             Self::Holds { .. } => None,
--- a/specs/src/lib.rs
+++ b/specs/src/lib.rs
@@ -1,4 +1,5 @@
-//! Small specifications of the core protocols, explored to the full reachable set.
+//! Small executable specifications of the core protocols. A breadth-first search explores all reachable
+//! states.
 
 mod at_most_once;
 mod explore;
--- a/specs/src/notes/bounds.rs
+++ b/specs/src/notes/bounds.rs
@@ -2,46 +2,47 @@
 
 use super::Mutant;
 
-/// One process of a host.
+/// A process of a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Process {
     /// Name of its host.
     pub host: &'static str,
-    /// Run.
+    /// Incarnation.
     pub incarnation: u64,
-    /// Whether it runs from the start; another one starts later, while those before it go on.
+    /// Whether the process runs in the initial state; otherwise it starts later, while the host's earlier
+    /// processes still run.
     pub from_start: bool,
 }
 
-/// Bounds of an exploration.
+/// Specification of the release notes with the bounds of its exploration.
 #[derive(Debug, Clone)]
 pub struct NotesSpec {
     /// All processes.
     pub processes: Vec<Process>,
-    /// Members of the roster under each change, by index of process; the first is accepted at the start.
+    /// Roster of each change, as indices into `processes`; the first change is accepted in the initial state.
     pub rosters: Vec<Vec<usize>>,
-    /// Members that a host must hear.
+    /// Number of roster members that a host must reach to serve.
     pub serving: usize,
-    /// Who probes whom.
+    /// Pairs of probing and probed process.
     pub probes: Vec<(usize, usize)>,
     /// Processes that may read the head row after the first change is staged.
     pub readers: Vec<usize>,
-    /// Readers whose answers may be late; those of the others arrive at once.
+    /// Readers whose answers may be late; answers to other readers arrive immediately.
     pub late_readers: Vec<usize>,
-    /// Whether the operator may give up a staged change.
+    /// Whether the operator may abandon a staged change.
     pub with_abandon: bool,
-    /// Whether a process may end and start again, once.
+    /// Whether one process may restart once.
     pub with_restart: bool,
-    /// Whether an acknowledgement may reach the table late; else it does at once.
-    pub with_late_acknowledgements: bool,
-    /// The changes as processes learn them, shared by all states.
-    pub known: Vec<HeadChange>,
-    /// Fault built in.
+    /// Whether an acknowledgement may reach the table late; otherwise it does so immediately.
+    pub with_late_acks: bool,
+    /// The changes as processes read them, shared by all states.
+    pub head_changes: Vec<HeadChange>,
+    /// Fault that is built into the model.
     pub mutant: Option<Mutant>,
 }
 
 impl NotesSpec {
-    /// Three hosts, two of which must hear each other, and one change.
+    /// Builds a model of three hosts and one change, in which two hosts must reach each other to serve.
     pub fn three_hosts() -> Self {
         Self {
             processes: ["a", "b", "c"].map(|host| process(host, 1, true)).to_vec(),
@@ -52,61 +53,63 @@
             late_readers: vec![1],
             with_abandon: false,
             with_restart: false,
-            with_late_acknowledgements: false,
-            known: Vec::new(),
+            with_late_acks: false,
+            head_changes: Vec::new(),
             mutant: None,
         }
-        .with_known()
+        .with_head_changes()
     }
 
-    /// Three hosts, each of which serves alone until it has been in a minority for the lapse period.
+    /// Builds a model of three hosts, each of which may serve alone until it has been in a minority for the
+    /// lapse period.
     pub fn serving_alone() -> Self {
         let mut spec = Self::three_hosts();
         spec.serving = 1;
-        spec.with_known()
+        spec.with_head_changes()
     }
 
-    /// Two changes, the first of which may be given up.
+    /// Builds a model of two changes, the first of which may be abandoned.
     pub fn abandoned() -> Self {
         let mut spec = Self::three_hosts();
         spec.rosters = vec![vec![0, 1, 2]; 3];
         spec.readers = vec![1];
         spec.with_abandon = true;
-        spec.with_known()
+        spec.with_head_changes()
     }
 
-    /// A process ends and starts again while its acknowledgement is on its way.
+    /// Builds a model in which a process restarts while its acknowledgement is in flight.
     pub fn restarted() -> Self {
         let mut spec = Self::three_hosts();
         spec.readers = vec![1];
         spec.with_restart = true;
-        spec.with_late_acknowledgements = true;
-        spec.with_known()
+        spec.with_late_acks = true;
+        spec.with_head_changes()
     }
 
-    /// Host `b` is replaced under its name while its first process goes on.
+    /// Builds a model in which a second process of host `b` starts while its first process still runs.
     pub fn replaced() -> Self {
         let mut spec = Self::three_hosts();
         spec.processes.push(process("b", 2, false));
         spec.probes.push((0, 3));
         spec.readers = vec![2, 3];
         spec.late_readers = vec![3];
-        spec.with_known()
+        spec.with_head_changes()
     }
 
-    /// The list drops two hosts that can reach each other only; a second change follows.
-    pub fn dropped_island() -> Self {
+    /// Builds a model in which a change removes two hosts from the roster that can reach only each other, and
+    /// a second change follows.
+    pub fn removed_partition() -> Self {
         let mut spec = Self::three_hosts();
         spec.rosters = vec![vec![0, 1, 2], vec![2], vec![2]];
         spec.readers = vec![0, 2];
         spec.late_readers = vec![0];
-        spec.with_known()
+        spec.with_head_changes()
     }
 
-    /// The same with a fault built in.
+    /// Builds a fault into the model.
     pub fn with(mut self, mutant: Mutant) -> Self {
         self.mutant = Some(mutant);
-        self.with_known()
+        self.with_head_changes()
     }
 }
 
--- a/specs/src/notes/mod.rs
+++ b/specs/src/notes/mod.rs
@@ -1,8 +1,8 @@
-//! Release notes: an accepted note is obeyed by every host that takes new work.
+//! Specification of release notes: every host that takes new work enforces the accepted note.
 //!
-//! The processes run [`notes::NoteReplica`], the operator runs [`notes::AckTracker`]; only the network, the
-//! table's rows and the time stand here. A step of time moves every kept time back, so time itself has no
-//! end.
+//! The processes run [`notes::NoteReplica`] and the operator runs [`notes::AckTracker`]. This module models
+//! only the network, the table's rows and time. The present is constant and a step of time moves every stored
+//! time back, which keeps the number of states finite without a last time.
 
 mod bounds;
 mod state;
@@ -22,7 +22,7 @@
 
 /// Length of one step of time.
 const TICK: Duration = Duration::from_millis(1);
-/// The present; older times end at zero.
+/// The present; times older than the lapse period saturate at zero.
 const NOW: Monotonic = Duration::from_millis(LAPSE);
 /// Freshness period, in steps of time.
 const FRESHNESS: u64 = 1;
@@ -31,46 +31,46 @@
 /// The region of all processes.
 const REGION: &str = "r";
 
-/// A fault built into the protocol, which exploration must find.
+/// A fault built into the model, which the exploration must find.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
-    /// One acknowledgement fewer than the overlap needs.
+    /// The operator accepts with one acknowledgement fewer than the overlap of quorums requires.
     NoOverlap,
-    /// An echo counts from when it was received.
+    /// A host counts an echo from its receipt instead of from the probe.
     CountReceived,
-    /// Acceptance follows the last acknowledgement at once.
+    /// The operator accepts immediately after the last acknowledgement.
     NoWait,
-    /// Whatever run of a member acknowledged, it counts.
+    /// The operator counts an acknowledgement of any incarnation of a member.
     AnyIncarnation,
-    /// Acknowledgements are counted on the roster of the staged change.
+    /// The operator counts acknowledgements on the roster of the staged change.
     UnversionedRoster,
-    /// A host that holds a staged change counts its peers on the head's roster alone.
+    /// A host with a staged change counts its peers only on the head's roster.
     HeadRosterOnly,
-    /// A host obeys the staged change alone.
-    ObeyStagedOnly,
-    /// A host obeys the head alone.
-    ObeyHeadOnly,
-    /// A minority goes on serving after the lapse period.
+    /// A host enforces only the staged change.
+    EnforceStagedOnly,
+    /// A host enforces only the head.
+    EnforceHeadOnly,
+    /// A minority continues to serve after the lapse period.
     NoLapse,
 }
 
-/// One step, also a fault.
+/// A step of the model: progress of a process, passage of time or a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotesAction {
-    /// Time passes.
+    /// Time advances by one step.
     Tick,
-    /// A process that runs beside an older one of its host starts and registers.
+    /// A process starts and registers while an older process of its host still runs.
     Start(usize),
-    /// A process ends and starts again at once.
+    /// A process ends and restarts immediately.
     Restart(usize),
-    /// The table answers a read; the answer is on its way.
+    /// The table answers a read; the answer is in flight.
     Read(usize),
-    /// The answer arrives.
+    /// The answer to a read arrives.
     ReadArrives(usize),
     /// A process sends its acknowledgement.
     Acknowledge(usize),
     /// The acknowledgement reaches the table.
-    AcknowledgeLands(usize),
+    AcknowledgementArrives(usize),
     /// A process probes another.
     Probe(usize, usize),
     /// The probe arrives and is answered.
@@ -79,18 +79,18 @@
     EchoArrives(usize, usize),
     /// The operator stages the next change.
     Stage,
-    /// The operator accepts.
+    /// The operator accepts the staged change.
     Accept,
-    /// The operator gives up the staged change.
+    /// The operator abandons the staged change.
     Abandon,
 }
 
-/// What must hold.
+/// A property that must hold in every state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotesInvariant {
-    /// A host that takes new work obeys the accepted change.
+    /// A host that takes new work enforces the accepted change.
     InForce,
-    /// The head that a process knows never goes back.
+    /// The head of a process never reverts to an earlier change.
     NeverReverts,
 }
 
@@ -119,27 +119,27 @@
         }
     }
 
-    /// What a process learns of a staged change.
+    /// Returns the staged change as a process receives it.
     fn staged(&self, head: HeadSeq, seq: HeadSeq) -> HeadChange {
-        let mut known = self.known[seq as usize - 1].clone();
+        let mut change = self.head_changes[seq as usize - 1].clone();
         if self.mutant == Some(Mutant::HeadRosterOnly) {
-            known.terms = self.known[head as usize - 1].terms.clone();
+            change.terms = self.head_changes[head as usize - 1].terms.clone();
         }
-        known
+        change
     }
 
-    fn with_known(mut self) -> Self {
+    fn with_head_changes(mut self) -> Self {
         let seqs = 1..=self.rosters.len() as HeadSeq;
-        let known = seqs.map(|seq| HeadChange {
+        let changes = seqs.map(|seq| HeadChange {
             seq,
             version: seq,
             terms: self.terms(seq),
         });
-        self.known = known.collect();
+        self.head_changes = changes.collect();
         self
     }
 
-    fn acceptor(&self, accepted: HeadSeq, seq: HeadSeq) -> AckTracker {
+    fn ack_tracker(&self, accepted: HeadSeq, seq: HeadSeq) -> AckTracker {
         let on = match self.mutant {
             Some(Mutant::UnversionedRoster) => seq,
             _ => accepted,
@@ -177,20 +177,20 @@
         .collect()
     }
 
-    fn obeyed(&self, holder: &NoteReplica) -> Vec<HeadSeq> {
-        let state = holder.state();
+    fn enforced(&self, replica: &NoteReplica) -> Vec<HeadSeq> {
+        let state = replica.state();
         match self.mutant {
-            Some(Mutant::ObeyStagedOnly) => vec![state.staged.unwrap_or(state.head)],
-            Some(Mutant::ObeyHeadOnly) => vec![state.head],
-            _ => holder.enforced_changes(),
+            Some(Mutant::EnforceStagedOnly) => vec![state.staged.unwrap_or(state.head)],
+            Some(Mutant::EnforceHeadOnly) => vec![state.head],
+            _ => replica.enforced_changes(),
         }
     }
 
     fn is_in_force(&self, state: &NotesState) -> bool {
-        let serving = state.holders.iter().flatten();
+        let serving = state.replicas.iter().flatten();
         serving
-            .filter(|holder| holder.may_take_new_work(NOW))
-            .all(|holder| self.obeyed(holder).contains(&state.accepted))
+            .filter(|replica| replica.may_take_new_work(NOW))
+            .all(|replica| self.enforced(replica).contains(&state.accepted))
     }
 }
 
@@ -200,14 +200,14 @@
     type Invariant = NotesInvariant;
 
     fn initial(&self) -> Vec<NotesState> {
-        vec![self.first()]
+        vec![self.initial_state()]
     }
 
     fn steps(&self, state: &NotesState) -> Vec<(NotesAction, NotesState)> {
         let actions = self.actions(state);
         let taken = actions.into_iter().filter_map(|action| {
             let mut next = state.clone();
-            self.take(&mut next, action)?;
+            self.apply(&mut next, action)?;
             (next != *state).then_some((action, next))
         });
         taken.collect()
--- a/specs/src/notes/state.rs
+++ b/specs/src/notes/state.rs
@@ -5,19 +5,20 @@
 
 use super::{NOW, TICK};
 
-/// A message between two processes; it may be late or lost. The receiver ignores a second copy.
+/// A message between two processes, which may be late or lost. Duplicates are not modelled because the
+/// receiver ignores them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum Packet {
-    /// A probe on its way.
+    /// A probe in flight.
     Probe,
-    /// An echo on its way.
+    /// An echo in flight.
     Echo(NoteEcho),
 }
 
 /// The table's answer to a read of the head row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct Answer {
-    /// When the process asked.
+    /// Time at which the process sent the read.
     pub(super) sent: Monotonic,
     /// Version of the row.
     pub(super) revision: u64,
@@ -27,39 +28,39 @@
     pub(super) staged: Option<HeadSeq>,
 }
 
-/// Everything that decides what happens next.
+/// State of the model.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct NotesState {
-    /// The processes; `None` before the start.
-    pub(super) holders: Vec<Option<NoteReplica>>,
-    /// Run of each process.
+    /// Replica of each process; `None` before the process starts.
+    pub(super) replicas: Vec<Option<NoteReplica>>,
+    /// Incarnation of each process.
     pub(super) incarnations: Vec<u64>,
     /// The last accepted change.
     pub(super) accepted: HeadSeq,
     /// The staged change.
     pub(super) staged: Option<HeadSeq>,
-    /// Highest change that was ever staged.
+    /// Highest change that has been staged.
     pub(super) last_seq: HeadSeq,
     /// Version of the head row.
     pub(super) revision: u64,
-    /// Rows of the hosts.
+    /// Row of each host: incarnation, acknowledged change, and whether all earlier processes have ended.
     pub(super) rows: BTreeMap<&'static str, (u64, HeadSeq, bool)>,
-    /// Answers of the table that are on their way to a process.
+    /// Answer of the table in flight to each process.
     pub(super) reads: Vec<Option<Answer>>,
-    /// Acknowledgements that are on their way to the table, with the run that sent each.
+    /// Acknowledgement of each process in flight to the table, with the incarnation that sent it.
     pub(super) acks: Vec<Option<(u64, HeadSeq)>>,
-    /// Packets between processes, by sender of the probe and receiver.
+    /// Packets in flight, by sender and receiver of the probe.
     pub(super) packets: BTreeMap<(usize, usize), Packet>,
-    /// The operator.
-    pub(super) acceptor: Option<AckTracker>,
-    /// Whether a host's head went back.
+    /// The operator's count of acknowledgements while a change is staged.
+    pub(super) ack_tracker: Option<AckTracker>,
+    /// Whether a process's head reverted to an earlier change.
     pub(super) is_reverted: bool,
-    /// Whether the one restart has happened.
+    /// Whether the single restart has happened.
     pub(super) is_restarted: bool,
 }
 
 impl NotesState {
-    /// The last accepted change.
+    /// Returns the last accepted change.
     pub fn accepted(&self) -> HeadSeq {
         self.accepted
     }
@@ -73,49 +74,49 @@
         }
     }
 
-    pub(super) fn tick(&mut self) {
-        self.holders
+    pub(super) fn advance_time(&mut self) {
+        self.replicas
             .iter_mut()
             .flatten()
-            .for_each(|holder| holder.shift_times_back(TICK));
-        self.acceptor
+            .for_each(|replica| replica.shift_times_back(TICK));
+        self.ack_tracker
             .iter_mut()
-            .for_each(|acceptor| acceptor.shift_times_back(TICK));
+            .for_each(|ack_tracker| ack_tracker.shift_times_back(TICK));
         for answer in self.reads.iter_mut().flatten() {
             answer.sent = answer.sent.saturating_sub(TICK);
         }
     }
 
     pub(super) fn acknowledge(&mut self, i: usize) -> Option<()> {
-        let seq = self.holders[i].as_ref()?.unacknowledged()?;
+        let seq = self.replicas[i].as_ref()?.unacknowledged()?;
         self.acks[i] = Some((self.incarnations[i], seq));
         Some(())
     }
 
-    pub(super) fn probe_arrives(&mut self, from: usize, to: usize) -> Option<()> {
-        let holder = self.holders[to].as_ref()?;
+    pub(super) fn deliver_probe(&mut self, from: usize, to: usize) -> Option<()> {
+        let replica = self.replicas[to].as_ref()?;
         let echo = NoteEcho {
             nonce: 1,
             incarnation: self.incarnations[to],
-            state: holder.state(),
+            state: replica.state(),
         };
         self.packets.insert((from, to), Packet::Echo(echo));
         Some(())
     }
 
     pub(super) fn accept(&mut self) -> Option<()> {
-        let is_ready = self.acceptor.as_ref()?.is_ready(NOW);
+        let is_ready = self.ack_tracker.as_ref()?.is_ready(NOW);
         let staged = self.staged.filter(|_| is_ready)?;
         self.accepted = staged;
         self.staged = None;
-        self.acceptor = None;
+        self.ack_tracker = None;
         self.revision += 1;
         Some(())
     }
 
     pub(super) fn abandon(&mut self) -> Option<()> {
         self.staged.take()?;
-        self.acceptor = None;
+        self.ack_tracker = None;
         self.revision += 1;
         Some(())
     }
--- a/specs/src/orders.rs
+++ b/specs/src/orders.rs
@@ -1,4 +1,5 @@
-//! Orders under a lease, over the daemon's own transition functions.
+//! Specification of orders that a host sends while it holds a lease. It runs the daemon's own transition
+//! functions.
 
 mod world;
 
@@ -10,13 +11,13 @@
 
 use crate::Spec;
 
-/// Hosts that want the lease at once.
+/// Number of hosts that compete for the lease.
 const HOSTS: usize = 2;
-/// Targets; all of them ignore fencing numbers.
+/// Number of targets; none of them checks fencing tokens.
 const TARGETS: usize = 2;
-/// Most writes of a host.
-const WRITES: u64 = 2;
-/// Times and limits of the model; one second is one tick of its clock.
+/// Maximum number of writes of a host.
+const MAX_WRITES: u64 = 2;
+/// Lease rules of the model; one second is one tick of its clock.
 const RULES: LeaseRules = LeaseRules {
     length: Duration::from_secs(2),
     margin: Duration::from_secs(1),
@@ -24,40 +25,40 @@
     limit: 1,
 };
 
-/// Two hosts that both want to load weights on two targets.
+/// Specification of two hosts that both load weights on two targets.
 #[derive(Debug, Clone)]
 pub struct Orders {
-    /// Ticks of the clock.
+    /// Length of a run, in ticks of the clock.
     ticks: u64,
-    /// Answers of the table service that may be lost.
+    /// Number of the table service's answers that may be lost.
     losses: u8,
-    /// Hosts that may be replaced.
-    kills: u8,
-    /// A fault of the code.
+    /// Number of times that a host may be replaced.
+    replacements: u8,
+    /// Fault that is built into the model.
     mutant: Option<OrdersMutant>,
 }
 
-/// A fault that the exploration must find.
+/// A fault built into the model, which the exploration must find.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrdersMutant {
-    /// Orders are sent up to the end of the lease.
+    /// A holder sends orders up to the end of its lease.
     NoMargin,
-    /// A new holder does not wait for the orders of the old one.
+    /// A new holder does not wait until the previous holder's orders have arrived.
     NoWait,
-    /// A lost answer counts as success.
+    /// A host takes a lost answer as success.
     NoReadBack,
-    /// The lease runs from the answer to its write.
+    /// A host measures the lease from the answer to its write instead of from the write.
     MeasuredFromAnswer,
-    /// A new holder starts with no loads.
+    /// A new holder does not take over the loads in progress.
     LoadsNotTakenOver,
 }
 
-/// What must hold in every state.
+/// A property that must hold in every state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrdersInvariant {
     /// No order takes effect at a target after an order of a later holder.
     NoConflict,
-    /// At most the stated number of loads run at once.
+    /// The number of concurrent loads stays within the limit.
     LoadsWithinLimit,
     /// No order is sent after the lease has lapsed.
     NoOrderAfterLapse,
@@ -66,135 +67,138 @@
 /// A call to the table service.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Call {
-    /// A write before it took place.
+    /// A write that has not taken effect.
     Write(Write),
-    /// A write with its answer.
+    /// A write that has taken effect or was refused, with its answer.
     Written(Write, WriteOutcome),
 }
 
 /// A conditional write.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Write {
-    /// What the row must be.
+    /// Condition on the row.
     expect: Expect,
-    /// New content.
+    /// New content of the row.
     row: LeaseRow,
-    /// When it was asked for.
+    /// Time at which the host requested the write, in ticks.
     asked_at: u64,
 }
 
-/// An order between its check and its send.
+/// An order that was checked against the lease and is about to be sent.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Checked {
+struct CheckedOrder {
     target: usize,
     epoch: Epoch,
     at: u64,
 }
 
-/// An order on its way.
+/// An order that was sent and has not arrived.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Flying {
+struct InFlightOrder {
     target: usize,
     epoch: Epoch,
     sent_at: u64,
 }
 
-/// A host.
+/// State of a host.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Host {
-    /// Its part in the lease, as in the daemon.
+    /// The daemon's state of the lease.
     lease: OrderLease,
-    /// Its call to the table service.
+    /// Pending call to the table service.
     call: Option<Call>,
-    /// An order that is about to be sent.
-    checked: Option<Checked>,
-    /// Targets that got an order from this host.
+    /// Order that is about to be sent.
+    checked: Option<CheckedOrder>,
+    /// Whether this host has sent an order to each target.
     ordered: [bool; TARGETS],
-    /// Time between the last write and its answer, for the mutant that measures from the answer.
+    /// Time between the last write and its answer, in ticks; only [`OrdersMutant::MeasuredFromAnswer`] sets
+    /// it.
     answer_time: u64,
 }
 
-/// A target.
+/// State of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 struct Target {
-    /// Highest fencing number of the orders that took effect.
+    /// Highest fencing token of the orders that took effect.
     epoch: Epoch,
-    /// Whether weights are loading.
+    /// Whether a load is in progress.
     loading: bool,
-    /// Whether the version is there.
+    /// Whether the version is loaded.
     loaded: bool,
 }
 
-/// All that decides what happens next.
+/// State of the model.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct OrdersWorld {
-    /// Clock.
+    /// The clock, in ticks.
     now: u64,
-    /// Row with its version and the time of its last write.
+    /// Lease row, its version and the time of its last write in ticks.
     row: Option<(LeaseRow, u64, u64)>,
-    /// Hosts.
+    /// The hosts.
     hosts: Vec<Host>,
-    /// Targets.
+    /// The targets.
     targets: [Target; TARGETS],
-    /// Orders on their way.
-    flying: Vec<Flying>,
-    /// Writes that will take place although their host has given them up.
-    late: Vec<Write>,
-    /// Answers that may still be lost.
+    /// Orders that were sent and have not arrived.
+    in_flight: Vec<InFlightOrder>,
+    /// Writes that may still take effect although their host no longer waits for the answer.
+    late_writes: Vec<Write>,
+    /// Number of answers that may still be lost.
     losses: u8,
-    /// Hosts that may still be replaced.
-    kills: u8,
-    /// Whether an old order took effect after a newer one.
-    conflict: bool,
-    /// Whether an order was sent without a lease.
-    lapsed: bool,
+    /// Number of times that a host may still be replaced.
+    replacements: u8,
+    /// Whether an order took effect at a target after an order with a higher fencing token.
+    has_conflict: bool,
+    /// Whether a host without a valid lease sent an order.
+    sent_after_lapse: bool,
 }
 
-/// One step.
+/// A step of the model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrdersAction {
-    /// A second passes; any host may be paused meanwhile.
-    Pass,
-    /// A host takes in what loads have ended, plans the next one and looks at its lease; a read is answered at once.
+    /// The clock advances by one second, also while hosts are paused.
+    AdvanceClock,
+    /// A host records the loads that have ended, plans the next load and steps its lease; a read is answered
+    /// immediately.
     Tick(usize),
-    /// The table service carries out a host's call.
-    Serve(usize),
+    /// The table service applies a host's write.
+    ApplyWrite(usize),
     /// The table service's answer arrives.
     Answer(usize),
-    /// The answer to a write is lost, before or after its effect.
-    Lose(usize),
-    /// A write that was given up takes place.
-    ServeLate,
-    /// A host checks that it may send an order.
+    /// The answer to a write is lost, before or after the write takes effect.
+    LoseAnswer(usize),
+    /// A late write takes effect.
+    ApplyLateWrite,
+    /// A host checks its lease before it sends an order to a target.
     Check(usize, usize),
     /// A host sends the order that it checked.
     Send(usize),
-    /// An order takes effect.
+    /// An order arrives and takes effect.
     Arrive(usize),
     /// A load ends.
     Finish(usize),
-    /// A host is replaced under the same name.
+    /// A host's process ends and a new process with the same name starts.
     Replace(usize),
 }
 
 impl Orders {
-    /// The specification over `ticks` seconds with lost answers and replaced hosts.
+    /// Builds the specification over `ticks` seconds with at most `losses` lost answers and `replacements`
+    /// replaced hosts.
     ///
     /// ```
     /// use specs::{Orders, explore};
     ///
     /// assert!(explore(&Orders::new(1, 0, 0)).broken().is_none());
     /// ```
-    pub fn new(ticks: u64, losses: u8, kills: u8) -> Self {
+    pub fn new(ticks: u64, losses: u8, replacements: u8) -> Self {
         Self {
             ticks,
             losses,
-            kills,
+            replacements,
             mutant: None,
         }
     }
 
-    /// The same with a fault.
+    /// Builds a fault into the model.
     pub fn with_mutant(mut self, mutant: OrdersMutant) -> Self {
         self.mutant = Some(mutant);
         self
@@ -230,7 +234,7 @@
         }
     }
 
-    /// The outcome that a host takes from an answer that was lost.
+    /// Returns the outcome that a host assumes when the answer to a write is lost.
     fn lost_outcome(&self, write: &Write) -> WriteOutcome {
         if !self.has(OrdersMutant::NoReadBack) {
             return WriteOutcome::Unknown;
@@ -245,16 +249,16 @@
         if world.hosts[h].call.is_some() {
             return None;
         }
-        world.see_ends(h);
-        world.plan(h);
+        world.end_loads(h);
+        world.plan_load(h);
         let at = seconds(world.now);
         let host = &mut world.hosts[h];
         match host.lease.step(LeaseInput::Tick { wanted: true }, at) {
             Some(LeaseEffect::Read) => {
-                let found = self.found(world.row.as_ref());
+                let found = self.read_result(world.row.as_ref());
                 world.hosts[h].lease.step(LeaseInput::Read(found), at);
             }
-            Some(LeaseEffect::Write { row, .. }) if row.write > WRITES => return None,
+            Some(LeaseEffect::Write { row, .. }) if row.write > MAX_WRITES => return None,
             Some(LeaseEffect::Write { expect, row }) => {
                 let asked_at = world.now;
                 host.call = Some(Call::Write(Write {
@@ -268,8 +272,8 @@
         Some(())
     }
 
-    /// What a read finds.
-    fn found(&self, row: Option<&(LeaseRow, u64, u64)>) -> Option<(LeaseRow, u64)> {
+    /// Returns the row and version that a host reads.
+    fn read_result(&self, row: Option<&(LeaseRow, u64, u64)>) -> Option<(LeaseRow, u64)> {
         let (mut row, version, _) = row?.clone();
         if self.has(OrdersMutant::LoadsNotTakenOver) {
             row.loads.clear();
@@ -290,12 +294,12 @@
         Some(())
     }
 
-    fn lose(&self, world: &mut OrdersWorld, h: usize) -> Option<()> {
+    fn lose_answer(&self, world: &mut OrdersWorld, h: usize) -> Option<()> {
         world.losses = world.losses.checked_sub(1)?;
         let host = &mut world.hosts[h];
         let write = match host.call.take()? {
             Call::Write(write) => {
-                world.late.push(write.clone());
+                world.late_writes.push(write.clone());
                 write
             }
             Call::Written(write, _) => write,
@@ -306,30 +310,30 @@
     }
 
     fn replace(&self, world: &mut OrdersWorld, h: usize) -> Option<()> {
-        world.kills = world.kills.checked_sub(1)?;
+        world.replacements = world.replacements.checked_sub(1)?;
         if let Some(Call::Write(write)) = world.hosts[h].call.take() {
-            world.late.push(write);
+            world.late_writes.push(write);
         }
         world.hosts[h] = self.host(h, 2);
         Some(())
     }
 
-    fn take(&self, world: &mut OrdersWorld, action: OrdersAction) -> Option<()> {
+    fn apply(&self, world: &mut OrdersWorld, action: OrdersAction) -> Option<()> {
         match action {
-            OrdersAction::Pass => world.pass(self.ticks),
+            OrdersAction::AdvanceClock => world.advance_clock(self.ticks),
             OrdersAction::Tick(h) => self.tick(world, h),
-            OrdersAction::Serve(h) => world.serve(h),
+            OrdersAction::ApplyWrite(h) => world.apply_write(h),
             OrdersAction::Answer(h) => self.answer(world, h),
-            OrdersAction::Lose(h) => self.lose(world, h),
-            OrdersAction::ServeLate => {
-                let write = world.late.pop()?;
+            OrdersAction::LoseAnswer(h) => self.lose_answer(world, h),
+            OrdersAction::ApplyLateWrite => {
+                let write = world.late_writes.pop()?;
                 world.write(&write);
                 Some(())
             }
-            OrdersAction::Check(h, t) => world.check(h, t),
-            OrdersAction::Send(h) => world.send(h),
-            OrdersAction::Arrive(i) => world.arrive(i),
-            OrdersAction::Finish(t) => world.finish(t),
+            OrdersAction::Check(h, t) => world.check_order(h, t),
+            OrdersAction::Send(h) => world.send_order(h),
+            OrdersAction::Arrive(i) => world.deliver_order(i),
+            OrdersAction::Finish(t) => world.finish_load(t),
             OrdersAction::Replace(h) => self.replace(world, h),
         }
     }
@@ -346,21 +350,21 @@
             row: None,
             hosts: (0..HOSTS).map(|number| self.host(number, 1)).collect(),
             targets: [Target::default(); TARGETS],
-            flying: Vec::new(),
-            late: Vec::new(),
+            in_flight: Vec::new(),
+            late_writes: Vec::new(),
             losses: self.losses,
-            kills: self.kills,
-            conflict: false,
-            lapsed: false,
+            replacements: self.replacements,
+            has_conflict: false,
+            sent_after_lapse: false,
         }]
     }
 
     fn steps(&self, state: &OrdersWorld) -> Vec<(OrdersAction, OrdersWorld)> {
-        actions(state)
+        enabled_actions(state)
             .into_iter()
             .filter_map(|action| {
                 let mut next = state.clone();
-                self.take(&mut next, action)?;
+                self.apply(&mut next, action)?;
                 (next != *state).then_some((action, next))
             })
             .collect()
@@ -368,35 +372,37 @@
 
     fn violated(&self, state: &OrdersWorld) -> Option<OrdersInvariant> {
         let loading = state.targets.iter().filter(|t| t.loading).count();
-        if state.conflict {
+        if state.has_conflict {
             return Some(OrdersInvariant::NoConflict);
         }
         if loading > RULES.limit {
             return Some(OrdersInvariant::LoadsWithinLimit);
         }
-        state.lapsed.then_some(OrdersInvariant::NoOrderAfterLapse)
+        state
+            .sent_after_lapse
+            .then_some(OrdersInvariant::NoOrderAfterLapse)
     }
 }
 
-fn actions(state: &OrdersWorld) -> Vec<OrdersAction> {
-    // The hosts differ in nothing but their names, so that one fault may as well strike the first.
+fn enabled_actions(state: &OrdersWorld) -> Vec<OrdersAction> {
+    // The hosts differ only in their names, so faults of the first host cover those of the second.
     let mut actions = vec![
-        OrdersAction::Pass,
-        OrdersAction::ServeLate,
-        OrdersAction::Lose(0),
+        OrdersAction::AdvanceClock,
+        OrdersAction::ApplyLateWrite,
+        OrdersAction::LoseAnswer(0),
         OrdersAction::Replace(0),
     ];
     for h in 0..HOSTS {
         actions.extend([
             OrdersAction::Tick(h),
-            OrdersAction::Serve(h),
+            OrdersAction::ApplyWrite(h),
             OrdersAction::Answer(h),
             OrdersAction::Send(h),
         ]);
         actions.extend((0..TARGETS).map(|t| OrdersAction::Check(h, t)));
     }
     actions.extend((0..TARGETS).map(OrdersAction::Finish));
-    actions.extend((0..state.flying.len()).map(OrdersAction::Arrive));
+    actions.extend((0..state.in_flight.len()).map(OrdersAction::Arrive));
     actions
 }
 
--- a/specs/src/orders/world.rs
+++ b/specs/src/orders/world.rs
@@ -4,26 +4,26 @@
 use metadata::Expect;
 use utils::Epoch;
 
-use super::{Call, Checked, Flying, OrdersWorld, RULES, TARGETS, Write, seconds, target};
+use super::{Call, CheckedOrder, InFlightOrder, OrdersWorld, RULES, TARGETS, Write, seconds, target};
 
 impl OrdersWorld {
-    /// Time passes, unless an order must be sent or arrive first.
-    pub(super) fn pass(&mut self, ticks: u64) -> Option<()> {
+    /// Advances the clock, unless an order must be sent or must arrive first to meet its time limit.
+    pub(super) fn advance_clock(&mut self, ticks: u64) -> Option<()> {
         let in_time = |since: u64, most: Duration| self.now < since + most.as_secs();
-        let flying = self
-            .flying
+        let arrive_in_time = self
+            .in_flight
             .iter()
             .all(|f| in_time(f.sent_at, RULES.max_order_latency));
         let checked = self.hosts.iter().filter_map(|h| h.checked.as_ref());
-        let sent = checked.into_iter().all(|c| in_time(c.at, RULES.margin));
-        if !flying || !sent || self.now >= ticks {
+        let sent_in_time = checked.into_iter().all(|c| in_time(c.at, RULES.margin));
+        if !arrive_in_time || !sent_in_time || self.now >= ticks {
             return None;
         }
         self.now += 1;
         Some(())
     }
 
-    pub(super) fn serve(&mut self, h: usize) -> Option<()> {
+    pub(super) fn apply_write(&mut self, h: usize) -> Option<()> {
         let Call::Write(write) = self.hosts[h].call.clone()? else {
             return None;
         };
@@ -45,8 +45,8 @@
         WriteOutcome::Applied(version + 1)
     }
 
-    /// Plans a load; the hosts begin with different targets.
-    pub(super) fn plan(&mut self, h: usize) {
+    /// Plans a load; each host starts the search at a different target.
+    pub(super) fn plan_load(&mut self, h: usize) {
         let Some(t) = (0..TARGETS)
             .map(|i| (i + h) % TARGETS)
             .find(|t| !self.targets[*t].loaded)
@@ -62,14 +62,14 @@
         self.hosts[h].lease.step(LeaseInput::Start(slot), at);
     }
 
-    pub(super) fn see_ends(&mut self, h: usize) {
+    pub(super) fn end_loads(&mut self, h: usize) {
         let at = seconds(self.now);
         for t in (0..TARGETS).filter(|t| self.targets[*t].loaded) {
             self.hosts[h].lease.step(LeaseInput::End(target(t)), at);
         }
     }
 
-    pub(super) fn check(&mut self, h: usize, t: usize) -> Option<()> {
+    pub(super) fn check_order(&mut self, h: usize, t: usize) -> Option<()> {
         let now = self.now;
         let host = &mut self.hosts[h];
         let is_written = host.lease.loads().iter().any(|slot| slot.target == target(t));
@@ -79,7 +79,7 @@
         let epoch = host
             .lease
             .epoch_for(&target(t), false, seconds(now.saturating_sub(host.answer_time)))?;
-        host.checked = Some(Checked {
+        host.checked = Some(CheckedOrder {
             target: t,
             epoch,
             at: now,
@@ -87,11 +87,11 @@
         Some(())
     }
 
-    pub(super) fn send(&mut self, h: usize) -> Option<()> {
+    pub(super) fn send_order(&mut self, h: usize) -> Option<()> {
         let checked = self.hosts[h].checked.take()?;
         self.hosts[h].ordered[checked.target] = true;
-        self.lapsed |= !self.is_leased_to(h, checked.epoch);
-        self.flying.push(Flying {
+        self.sent_after_lapse |= !self.is_leased_to(h, checked.epoch);
+        self.in_flight.push(InFlightOrder {
             target: checked.target,
             epoch: checked.epoch,
             sent_at: self.now,
@@ -99,7 +99,7 @@
         Some(())
     }
 
-    /// Whether the row gives a host the lease now.
+    /// Returns whether a host holds the lease at `epoch` now according to the row.
     fn is_leased_to(&self, h: usize, epoch: Epoch) -> bool {
         self.row.as_ref().is_some_and(|(row, _, written_at)| {
             *row.holder == *format!("entry-{h}")
@@ -108,19 +108,19 @@
         })
     }
 
-    pub(super) fn arrive(&mut self, i: usize) -> Option<()> {
-        if i >= self.flying.len() {
+    pub(super) fn deliver_order(&mut self, i: usize) -> Option<()> {
+        if i >= self.in_flight.len() {
             return None;
         }
-        let order = self.flying.remove(i);
+        let order = self.in_flight.remove(i);
         let target = &mut self.targets[order.target];
-        self.conflict |= order.epoch < target.epoch;
+        self.has_conflict |= order.epoch < target.epoch;
         target.epoch = target.epoch.max(order.epoch);
         target.loading = !target.loaded;
         Some(())
     }
 
-    pub(super) fn finish(&mut self, t: usize) -> Option<()> {
+    pub(super) fn finish_load(&mut self, t: usize) -> Option<()> {
         let target = &mut self.targets[t];
         if !target.loading {
             return None;
--- a/specs/tests/at_most_once.rs
+++ b/specs/tests/at_most_once.rs
@@ -1,9 +1,10 @@
-//! Explores calls that must not be repeated, with and without faults of the code.
+//! Explores the specification of calls that run at most once: all states without built-in faults, and each
+//! built-in fault.
 
 use specs::{AtMostOnce, CallInvariant, CallMutant, explore};
 
-fn spec(tries: u8, losses: u8, kills: u8) -> AtMostOnce {
-    AtMostOnce::new(tries, losses, kills).expect("chart")
+fn spec(attempts: u8, losses: u8, replacements: u8) -> AtMostOnce {
+    AtMostOnce::new(attempts, losses, replacements).expect("chart")
 }
 
 fn assert_holds(spec: &AtMostOnce) {
@@ -12,9 +13,9 @@
     assert!(explored.states().is_some(), "{explored}");
 }
 
-/// Checks that a mutant breaks an invariant, and prints the shortest run to it.
+/// Checks that a mutant violates an invariant, and prints the shortest run to the violation.
 fn assert_caught(mutant: CallMutant, invariant: CallInvariant) {
-    let explored = explore(&spec(3, 2, 0).with_mutant(mutant).watching(invariant));
+    let explored = explore(&spec(3, 2, 0).with_mutant(mutant).checking_only(invariant));
     println!("{mutant:?}: {explored}");
     assert_eq!(explored.broken(), Some(invariant));
 }
@@ -30,7 +31,7 @@
 }
 
 #[test]
-fn holds_with_three_tries() {
+fn holds_with_three_attempts() {
     assert_holds(&spec(3, 1, 0));
 }
 
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn finds_another_hosts_claim_given_up() {
+fn finds_an_abandoned_claim_of_another_host() {
     assert_caught(CallMutant::AbandonOthers, CallInvariant::RunsAtMostOnce);
 }
 
@@ -61,7 +62,7 @@
 
 #[test]
 fn finds_a_removed_row() {
-    assert_caught(CallMutant::DeleteAbandoned, CallInvariant::NoClaimLeftOver);
+    assert_caught(CallMutant::DeleteAbandoned, CallInvariant::NoLeakedClaim);
 }
 
 #[test]
--- a/specs/tests/notes.rs
+++ b/specs/tests/notes.rs
@@ -1,14 +1,14 @@
-//! Explorations of the release notes.
+//! Explores the specification of release notes: all states without built-in faults, and each built-in fault.
 
 use specs::{NotesInvariant, NotesMutant, NotesSpec, explore, fewest_steps};
 
-fn holds(spec: &NotesSpec) {
+fn assert_holds(spec: &NotesSpec) {
     let found = explore(spec);
     println!("{found}");
     assert!(found.states().is_some());
 }
 
-fn is_caught(spec: NotesSpec, mutant: NotesMutant) {
+fn assert_caught(spec: NotesSpec, mutant: NotesMutant) {
     let found = explore(&spec.with(mutant));
     println!("{mutant:?}: {found}");
     assert_eq!(found.broken(), Some(NotesInvariant::InForce));
@@ -16,32 +16,32 @@
 
 #[test]
 fn three_hosts_hold() {
-    holds(&NotesSpec::three_hosts());
+    assert_holds(&NotesSpec::three_hosts());
 }
 
 #[test]
 fn hosts_that_serve_alone_hold() {
-    holds(&NotesSpec::serving_alone());
+    assert_holds(&NotesSpec::serving_alone());
 }
 
 #[test]
 fn abandoned_changes_hold() {
-    holds(&NotesSpec::abandoned());
+    assert_holds(&NotesSpec::abandoned());
 }
 
 #[test]
 fn a_restart_holds() {
-    holds(&NotesSpec::restarted());
+    assert_holds(&NotesSpec::restarted());
 }
 
 #[test]
 fn a_replaced_host_holds() {
-    holds(&NotesSpec::replaced());
+    assert_holds(&NotesSpec::replaced());
 }
 
 #[test]
-fn a_dropped_island_holds() {
-    holds(&NotesSpec::dropped_island());
+fn a_removed_partition_holds() {
+    assert_holds(&NotesSpec::removed_partition());
 }
 
 #[test]
@@ -52,45 +52,45 @@
 
 #[test]
 fn mutant_no_overlap_is_caught() {
-    is_caught(NotesSpec::three_hosts(), NotesMutant::NoOverlap);
+    assert_caught(NotesSpec::three_hosts(), NotesMutant::NoOverlap);
 }
 
 #[test]
 fn mutant_count_received_is_caught() {
-    is_caught(NotesSpec::three_hosts(), NotesMutant::CountReceived);
+    assert_caught(NotesSpec::three_hosts(), NotesMutant::CountReceived);
 }
 
 #[test]
 fn mutant_no_wait_is_caught() {
-    is_caught(NotesSpec::three_hosts(), NotesMutant::NoWait);
+    assert_caught(NotesSpec::three_hosts(), NotesMutant::NoWait);
 }
 
 #[test]
-fn mutant_obey_staged_only_is_caught() {
-    is_caught(NotesSpec::three_hosts(), NotesMutant::ObeyStagedOnly);
+fn mutant_enforce_staged_only_is_caught() {
+    assert_caught(NotesSpec::three_hosts(), NotesMutant::EnforceStagedOnly);
 }
 
 #[test]
-fn mutant_obey_head_only_is_caught() {
-    is_caught(NotesSpec::three_hosts(), NotesMutant::ObeyHeadOnly);
+fn mutant_enforce_head_only_is_caught() {
+    assert_caught(NotesSpec::three_hosts(), NotesMutant::EnforceHeadOnly);
 }
 
 #[test]
 fn mutant_no_lapse_is_caught() {
-    is_caught(NotesSpec::serving_alone(), NotesMutant::NoLapse);
+    assert_caught(NotesSpec::serving_alone(), NotesMutant::NoLapse);
 }
 
 #[test]
 fn mutant_any_incarnation_is_caught() {
-    is_caught(NotesSpec::replaced(), NotesMutant::AnyIncarnation);
+    assert_caught(NotesSpec::replaced(), NotesMutant::AnyIncarnation);
 }
 
 #[test]
 fn mutant_unversioned_roster_is_caught() {
-    is_caught(NotesSpec::dropped_island(), NotesMutant::UnversionedRoster);
+    assert_caught(NotesSpec::removed_partition(), NotesMutant::UnversionedRoster);
 }
 
 #[test]
 fn mutant_head_roster_only_is_caught() {
-    is_caught(NotesSpec::dropped_island(), NotesMutant::HeadRosterOnly);
+    assert_caught(NotesSpec::removed_partition(), NotesMutant::HeadRosterOnly);
 }
