--- a/components/checker/src/lib.rs
+++ b/components/checker/src/lib.rs
@@ -1,4 +1,5 @@
-//! Judges a run by the nine promises, from what callers saw and what the stand-ins did.
+//! Checks a run against the nine promises of the system, from what callers received and what the stand-ins
+//! recorded.
 
 mod promise;
 mod record;
--- a/components/checker/src/promise.rs
+++ b/components/checker/src/promise.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-/// What the system promises at all times.
+/// A property that the system guarantees at all times.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize)]
 #[serde(rename_all = "kebab-case")]
@@ -11,24 +11,24 @@
     IntactCache,
     /// A workspace's prompts and cache never reach another workspace.
     WorkspaceIsolation,
-    /// A new request never uses blocks of another weight version.
+    /// A new request never uses cache blocks of another weight version.
     WeightVersions,
-    /// Each caller gets the whole answer to its own request.
+    /// Each caller gets the complete answer to its own request.
     WholeAnswers,
-    /// A refusal that says `not-run` is true.
+    /// A request that is refused with the outcome `not-run` did not run.
     TrueNotRun,
-    /// A call that may not be repeated runs at most once.
+    /// A non-repeatable call runs at most once.
     AtMostOnce,
     /// A leaving target gets no new work after a few seconds.
     LeavingTargets,
-    /// A graceful shutdown cuts off no request.
+    /// A graceful shutdown interrupts no request.
     GracefulShutdown,
     /// An accepted release note is in force everywhere within seconds and never reverts.
     NotesInForce,
 }
 
 impl Promise {
-    /// All nine.
+    /// All nine promises.
     pub const ALL: [Self; 9] = [
         Self::IntactCache,
         Self::WorkspaceIsolation,
@@ -41,7 +41,7 @@
         Self::NotesInForce,
     ];
 
-    /// Short name for tables.
+    /// Returns the short name that reports and tables show.
     ///
     /// ```
     /// assert_eq!(checker::Promise::TrueNotRun.to_string(), "not-run is true");
--- a/components/checker/src/record.rs
+++ b/components/checker/src/record.rs
@@ -7,41 +7,41 @@
 use standins::{EngineRecord, ServiceRecord};
 use utils::{Digest, HostId, ModelId, NoteVersion, ServiceId, TargetId, WeightVersion, WorkspaceId};
 
-/// Everything that is known about a run. Times are in microseconds since the Unix epoch.
+/// Record of a run, from which the promises are checked. Times are in microseconds since the Unix epoch.
 #[derive(Debug, Clone, PartialEq, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct RunRecord {
-    /// What callers asked for and saw.
+    /// Requests of the callers and what they received.
     pub requests: Vec<CallerRequest>,
-    /// What engines did.
+    /// Records of the engines.
     pub engines: BTreeMap<TargetId, EngineRecord>,
-    /// What services did.
+    /// Records of the services.
     pub services: BTreeMap<TargetId, ServiceRecord>,
     /// Targets that left.
     pub leaves: Vec<Leave>,
-    /// Entry hosts that shut down gracefully.
+    /// Graceful shutdowns of entry hosts.
     pub drains: Vec<Drain>,
-    /// Release notes that were accepted, oldest first.
+    /// Accepted release notes, oldest first.
     pub notes: Vec<NoteAccepted>,
 }
 
-/// One request of a caller, over all of its exchanges.
+/// A request of a caller with all of its exchanges.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct CallerRequest {
-    /// Number that the caller gave it.
+    /// Number that the caller assigned to the request.
     pub number: u64,
     /// Workspace of the caller.
     pub workspace: WorkspaceId,
-    /// What was asked for.
+    /// The requested work.
     pub work: Work,
-    /// Exchanges over HTTP, in order; more than one when the caller came back.
+    /// HTTP exchanges, in order; more than one if the caller resumed or retried the request.
     pub exchanges: Vec<Exchange>,
-    /// What the caller got in the end.
+    /// What the caller received over all exchanges.
     pub received: Received,
 }
 
-/// What a request asks for.
+/// Work that a request asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
@@ -52,7 +52,7 @@
     Call(CallBody),
 }
 
-/// A prompt.
+/// Request for a draft.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct DraftBody {
@@ -60,11 +60,11 @@
     pub model: ModelId,
     /// The prompt.
     pub prompt: Arc<str>,
-    /// Tokens asked for.
+    /// Number of requested tokens.
     pub max_tokens: u32,
 }
 
-/// A call.
+/// Request for a call to a plain service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct CallBody {
@@ -80,33 +80,33 @@
     pub repeatable: bool,
 }
 
-/// One exchange over HTTP with an entry host.
+/// An HTTP exchange with an entry host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Exchange {
     /// The entry host.
     pub host: HostId,
-    /// When the caller began to send.
+    /// Time at which the caller began to send.
     pub sent_at: u64,
-    /// When the head of the answer came; `None` if it did not.
+    /// Time at which the head of the answer arrived; `None` if it did not arrive.
     pub head_at: Option<u64>,
-    /// When the exchange ended.
+    /// Time at which the exchange ended.
     pub ended_at: u64,
-    /// HTTP status; 0 without an answer.
+    /// HTTP status; 0 if there was no answer.
     pub status: u16,
-    /// Outcome that the host stated last, in the header or in the body.
+    /// Last outcome that the host stated, in a header or in the body.
     pub outcome: Option<Outcome>,
-    /// Identifier that the host gave the request, as hexadecimal text.
+    /// Identifier that the host assigned to the request, in hexadecimal.
     pub request_id: String,
     /// Version of the release notes that the host stated.
     pub note: Option<NoteVersion>,
-    /// Whether the answer came to an end that the host meant: a whole answer or a problem document.
+    /// Whether the host ended the answer as intended, with a complete answer or a problem document.
     pub ended_well: bool,
-    /// Whether this exchange goes on with an earlier one.
+    /// Whether this exchange resumes an earlier one.
     pub is_resume: bool,
 }
 
-/// What a caller got.
+/// What a caller received.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct Received {
@@ -114,29 +114,29 @@
     pub tokens: Vec<String>,
     /// Body of a call's answer.
     pub body: String,
-    /// Whether the caller was told that the answer is whole.
+    /// Whether the answer was marked complete.
     pub whole: bool,
 }
 
-/// A target that left.
+/// The leaving of a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Leave {
     /// The target.
     pub target: TargetId,
-    /// When the platform's list first said so.
+    /// Time at which the platform's list first showed it.
     pub at: u64,
 }
 
-/// A graceful shutdown.
+/// A graceful shutdown of an entry host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Drain {
     /// The entry host.
     pub host: HostId,
-    /// When it was asked to shut down.
+    /// Time at which the shutdown was requested.
     pub began: u64,
-    /// When its process ended.
+    /// Time at which the process ended.
     pub ended: u64,
 }
 
@@ -144,20 +144,20 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct NoteAccepted {
-    /// Its version.
+    /// Version of the note.
     pub version: NoteVersion,
-    /// When acceptance was confirmed to the operator.
+    /// Time at which the acceptance was confirmed to the operator.
     pub at: u64,
-    /// Weight version of each model from then on.
+    /// Weight version of each model under this note.
     pub weight_versions: BTreeMap<ModelId, WeightVersion>,
 }
 
-/// How long changes may take to reach everyone.
+/// Time that changes may take to reach every host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Grace {
-    /// From a target's leaving to the end of new work for it.
+    /// Time after a target's leaving in which it may still receive new work.
     pub leave: Duration,
-    /// From a note's acceptance to its force at every host.
+    /// Time after a note's acceptance in which hosts may still serve under older notes.
     pub note: Duration,
 }
 
--- a/components/checker/src/report.rs
+++ b/components/checker/src/report.rs
@@ -4,26 +4,26 @@
 
 use crate::{Promise, Violation};
 
-/// Broken cases that a report keeps for each promise.
-const KEPT_CASES: usize = 5;
+/// Maximum number of violations that a report stores for each promise.
+const MAX_CASES: usize = 5;
 
-/// What a check found.
+/// Result of a check.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize)]
 pub struct Report {
-    /// By promise; all nine are there.
+    /// Result for each of the nine promises.
     pub promises: BTreeMap<Promise, PromiseReport>,
 }
 
-/// What a check found about one promise.
+/// Result of the checks of one promise.
 #[derive(Debug, Clone, PartialEq, Default)]
 #[derive(Serialize)]
 pub struct PromiseReport {
-    /// Facts that were checked.
+    /// Number of checks.
     pub checked: u64,
-    /// Facts that break the promise.
+    /// Number of violations.
     pub broken: u64,
-    /// The first broken cases.
+    /// The first violations.
     #[serde(serialize_with = "as_text")]
     pub cases: Vec<Violation>,
 }
@@ -36,29 +36,29 @@
         }
     }
 
-    /// Counts a fact that was checked.
-    pub(crate) fn note(&mut self, promise: Promise, found: Result<(), Violation>) {
+    /// Records the result of one check of a promise.
+    pub(crate) fn record(&mut self, promise: Promise, found: Result<(), Violation>) {
         let report = self.promises.entry(promise).or_default();
         report.checked += 1;
         if let Err(violation) = found {
             report.broken += 1;
-            if report.cases.len() < KEPT_CASES {
+            if report.cases.len() < MAX_CASES {
                 report.cases.push(violation);
             }
         }
     }
 
-    /// Facts that break any promise.
+    /// Returns the number of violations of all promises.
     pub fn broken(&self) -> u64 {
         self.promises.values().map(|report| report.broken).sum()
     }
 
-    /// Facts that were checked.
+    /// Returns the number of checks of all promises.
     pub fn checked(&self) -> u64 {
         self.promises.values().map(|report| report.checked).sum()
     }
 
-    /// Promises that are broken.
+    /// Returns the promises with at least one violation.
     ///
     /// ```
     /// let report = checker::check(&checker::RunRecord::default(), checker::Grace::default());
--- a/components/checker/src/rules/answers.rs
+++ b/components/checker/src/rules/answers.rs
@@ -5,14 +5,15 @@
 
 use crate::{CallerRequest, DraftBody, Promise, Report, RunRecord, Violation, Work};
 
-/// Checks that each draft's caller got its own answer, whole if it was told so, of one weight version.
+/// Checks that each caller of a draft received its own answer, computed by a single weight version and
+/// complete if it was marked complete, and that each draft ran in its caller's workspace.
 pub(crate) fn check(record: &RunRecord, report: &mut Report) {
     let versions = versions(record);
     for req in &record.requests {
         if let Work::Draft(body) = &req.work {
-            // Without any record of the model's versions no answer can be computed again.
-            if let Some(known) = versions.get(&*body.model) {
-                report.note(Promise::WholeAnswers, answer(req, body, known));
+            // The expected answer can only be computed for a known weight version of the model.
+            if let Some(model_versions) = versions.get(&*body.model) {
+                report.record(Promise::WholeAnswers, check_answer(req, body, model_versions));
             }
         }
     }
@@ -20,13 +21,13 @@
     for (target, engine) in &record.engines {
         for run in &engine.drafts {
             let owner = owners.get(&run.request_id);
-            let found = same_owner(target, run.request_id, owner, &run.workspace);
-            report.note(Promise::WorkspaceIsolation, found);
+            let found = check_workspace(target, run.request_id, owner, &run.workspace);
+            report.record(Promise::WorkspaceIsolation, found);
         }
     }
 }
 
-/// Weight versions that ran or were accepted, by model.
+/// Returns the weight versions that ran or were accepted, by model.
 fn versions(record: &RunRecord) -> HashMap<&str, BTreeSet<WeightVersion>> {
     let mut versions: HashMap<&str, BTreeSet<WeightVersion>> = HashMap::new();
     for run in record.engines.values().flat_map(|engine| &engine.drafts) {
@@ -38,7 +39,7 @@
     versions
 }
 
-fn answer(
+fn check_answer(
     req: &CallerRequest,
     body: &DraftBody,
     versions: &BTreeSet<WeightVersion>,
@@ -67,7 +68,7 @@
     Ok(())
 }
 
-/// Workspaces by the identifier that the entry host gave.
+/// Returns the caller's workspace of each request, by the identifier that the entry host assigned.
 fn owners(record: &RunRecord) -> HashMap<RequestId, WorkspaceId> {
     let mut owners = HashMap::new();
     for req in &record.requests {
@@ -80,7 +81,7 @@
     owners
 }
 
-fn same_owner(
+fn check_workspace(
     target: &TargetId,
     request: RequestId,
     owner: Option<&WorkspaceId>,
--- a/components/checker/src/rules/cache.rs
+++ b/components/checker/src/rules/cache.rs
@@ -6,22 +6,25 @@
 
 use crate::{Promise, Report, RunRecord, Violation};
 
-/// Checks every use of a cache piece: intact, of the same workspace and of the same weight version.
+/// Checks that every cache piece in use is intact and was computed by the same workspace and weight version.
 pub(crate) fn check(record: &RunRecord, report: &mut Report) {
     let owners = owners(record);
     for (target, engine) in &record.engines {
         for import in &engine.imports {
-            report.note(Promise::IntactCache, intact_import(target, import));
+            report.record(Promise::IntactCache, check_import(target, import));
         }
         for used in &engine.uses {
-            report.note(Promise::IntactCache, intact(target, used));
-            report.note(Promise::WorkspaceIsolation, own(target, used, &owners));
-            report.note(Promise::WeightVersions, same_version(target, used));
+            report.record(Promise::IntactCache, check_intact(target, used));
+            report.record(
+                Promise::WorkspaceIsolation,
+                check_workspace(target, used, &owners),
+            );
+            report.record(Promise::WeightVersions, check_version(target, used));
         }
     }
 }
 
-/// The workspace that first used or computed each piece.
+/// Returns the workspace that computed each piece, or the first that used it if that is unknown.
 fn owners(record: &RunRecord) -> HashMap<PieceId, WorkspaceId> {
     let mut owners = HashMap::new();
     for used in record.engines.values().flat_map(|engine| &engine.uses) {
@@ -31,7 +34,7 @@
     owners
 }
 
-fn intact_import(target: &TargetId, import: &ImportRun) -> Result<(), Violation> {
+fn check_import(target: &TargetId, import: &ImportRun) -> Result<(), Violation> {
     if !import.accepted || import.intact {
         return Ok(());
     }
@@ -41,7 +44,7 @@
     })
 }
 
-fn intact(target: &TargetId, used: &PieceUse) -> Result<(), Violation> {
+fn check_intact(target: &TargetId, used: &PieceUse) -> Result<(), Violation> {
     if used.intact {
         return Ok(());
     }
@@ -52,7 +55,11 @@
     })
 }
 
-fn own(target: &TargetId, used: &PieceUse, owners: &HashMap<PieceId, WorkspaceId>) -> Result<(), Violation> {
+fn check_workspace(
+    target: &TargetId,
+    used: &PieceUse,
+    owners: &HashMap<PieceId, WorkspaceId>,
+) -> Result<(), Violation> {
     let owner = used.from_workspace.as_ref().or_else(|| owners.get(&used.piece));
     match owner {
         Some(owner) if *owner != used.workspace => Err(Violation::ForeignPiece {
@@ -65,7 +72,7 @@
     }
 }
 
-fn same_version(target: &TargetId, used: &PieceUse) -> Result<(), Violation> {
+fn check_version(target: &TargetId, used: &PieceUse) -> Result<(), Violation> {
     if used.weight_version == used.from_version {
         return Ok(());
     }
--- a/components/checker/src/rules/calls.rs
+++ b/components/checker/src/rules/calls.rs
@@ -6,27 +6,27 @@
 
 use crate::{CallBody, CallerRequest, Promise, Report, RunRecord, Violation, Work};
 
-/// Identifies a call that may not be repeated: workspace, service and key.
+/// Identifies a call: workspace, service and idempotency key.
 type CallId = (WorkspaceId, String, String);
 
-/// Checks how often each call ran, and that its caller got its own answer.
+/// Checks how often each call ran, and that its caller received the answer to that call.
 pub(crate) fn check(record: &RunRecord, report: &mut Report) {
     let runs = runs(record);
     let repeatable = repeatable(record);
     for (id, count) in &runs {
         if !repeatable.contains(id) {
-            report.note(Promise::AtMostOnce, at_most_once(id, *count));
+            report.record(Promise::AtMostOnce, check_runs(id, *count));
         }
     }
     for req in &record.requests {
         let Work::Call(body) = &req.work else {
             continue;
         };
-        report.note(Promise::WholeAnswers, own_reply(req, body));
-        // Without the services' records nothing is known about what ran.
+        report.record(Promise::WholeAnswers, check_reply(req, body));
+        // Whether a call ran is known only from the records of the services.
         if req.received.whole && !record.services.is_empty() {
             let id = id_of(req, body);
-            report.note(Promise::WholeAnswers, really_ran(req, runs.contains_key(&id)));
+            report.record(Promise::WholeAnswers, check_ran(req, runs.contains_key(&id)));
         }
     }
 }
@@ -56,7 +56,7 @@
     (req.workspace.clone(), body.service.to_string(), body.key.clone())
 }
 
-fn at_most_once((workspace, service, key): &CallId, runs: usize) -> Result<(), Violation> {
+fn check_runs((workspace, service, key): &CallId, runs: usize) -> Result<(), Violation> {
     if runs <= 1 {
         return Ok(());
     }
@@ -68,7 +68,7 @@
     })
 }
 
-fn own_reply(req: &CallerRequest, body: &CallBody) -> Result<(), Violation> {
+fn check_reply(req: &CallerRequest, body: &CallBody) -> Result<(), Violation> {
     if !req.received.whole {
         return Ok(());
     }
@@ -84,9 +84,9 @@
     Err(Violation::WrongReply { number: req.number })
 }
 
-fn really_ran(req: &CallerRequest, ran: bool) -> Result<(), Violation> {
-    let told = req.exchanges.last().and_then(|exchange| exchange.outcome);
-    if ran || told != Some(Outcome::Ran) {
+fn check_ran(req: &CallerRequest, ran: bool) -> Result<(), Violation> {
+    let outcome = req.exchanges.last().and_then(|exchange| exchange.outcome);
+    if ran || outcome != Some(Outcome::Ran) {
         return Ok(());
     }
     Err(Violation::NeverRan { number: req.number })
--- a/components/checker/src/rules/leaving.rs
+++ b/components/checker/src/rules/leaving.rs
@@ -1,19 +1,19 @@
 use crate::{Grace, Leave, Promise, Report, RunRecord, Violation};
 
-/// Checks that leaving targets got no new work after the grace period.
+/// Checks that leaving targets received no new work after the grace period.
 pub(crate) fn check(record: &RunRecord, grace: Grace, report: &mut Report) {
     for leave in &record.leaves {
-        let until = leave.at + grace.leave.as_micros() as u64;
-        for at in work_of(record, leave) {
-            report.note(Promise::LeavingTargets, in_time(leave, at, until));
+        let deadline = leave.at + grace.leave.as_micros() as u64;
+        for at in work_times(record, leave) {
+            report.record(Promise::LeavingTargets, check_time(leave, at, deadline));
         }
-        // A target without work keeps the promise too.
-        report.note(Promise::LeavingTargets, Ok(()));
+        // Counts one passed check for each leaving target, also for a target without work.
+        report.record(Promise::LeavingTargets, Ok(()));
     }
 }
 
-/// Times at which the target got work.
-fn work_of(record: &RunRecord, leave: &Leave) -> Vec<u64> {
+/// Returns the times at which the target received work, in microseconds since the Unix epoch.
+fn work_times(record: &RunRecord, leave: &Leave) -> Vec<u64> {
     let engine = record.engines.get(&leave.target);
     let drafts = engine
         .into_iter()
@@ -24,12 +24,12 @@
     drafts.chain(calls).collect()
 }
 
-fn in_time(leave: &Leave, at: u64, until: u64) -> Result<(), Violation> {
-    if at <= until {
+fn check_time(leave: &Leave, at: u64, deadline: u64) -> Result<(), Violation> {
+    if at <= deadline {
         return Ok(());
     }
     Err(Violation::WorkAfterLeave {
         target: leave.target.clone(),
-        late_micros: at - until,
+        late_micros: at - deadline,
     })
 }
--- a/components/checker/src/rules/mod.rs
+++ b/components/checker/src/rules/mod.rs
@@ -8,7 +8,7 @@
 
 use crate::{Grace, Report, RunRecord};
 
-/// Judges a run by all nine promises.
+/// Checks a run against all nine promises.
 ///
 /// ```
 /// let report = checker::check(&checker::RunRecord::default(), checker::Grace::default());
--- a/components/checker/src/rules/notes.rs
+++ b/components/checker/src/rules/notes.rs
@@ -5,17 +5,18 @@
 
 use crate::{CallerRequest, Exchange, Grace, NoteAccepted, Promise, Report, RunRecord, Violation};
 
-/// Checks that accepted notes are in force everywhere in time and that no host goes back.
+/// Checks that accepted notes are in force at every host within the grace period and that no host reverts to
+/// an older note.
 pub(crate) fn check(record: &RunRecord, grace: Grace, report: &mut Report) {
     let grace = grace.note.as_micros() as u64;
     for req in &record.requests {
         for exchange in &req.exchanges {
-            report.note(Promise::NotesInForce, in_force(record, req, exchange, grace));
+            report.record(Promise::NotesInForce, check_note(record, req, exchange, grace));
         }
     }
-    for (host, mut seen) in by_host(record) {
-        seen.sort_unstable_by_key(|exchange| exchange.sent_at);
-        check_order(&host, &seen, report);
+    for (host, mut exchanges) in exchanges_by_host(record) {
+        exchanges.sort_unstable_by_key(|exchange| exchange.sent_at);
+        check_order(&host, &exchanges, report);
     }
     for (target, engine) in &record.engines {
         for run in engine
@@ -23,26 +24,26 @@
             .iter()
             .filter(|run| run.attempt == 1 && run.offset == 0)
         {
-            let found = version_in_force(record, target, run, grace);
-            report.note(Promise::WeightVersions, found);
+            let found = check_version(record, target, run, grace);
+            report.record(Promise::WeightVersions, found);
         }
     }
 }
 
-/// The last note that was accepted so long before `at`.
-fn note_before(record: &RunRecord, at: u64, grace: u64) -> Option<&NoteAccepted> {
+/// Returns the last note that was accepted at least `grace` microseconds before `at`.
+fn note_in_force_at(record: &RunRecord, at: u64, grace: u64) -> Option<&NoteAccepted> {
     record.notes.iter().rev().find(|note| note.at + grace <= at)
 }
 
-fn in_force(
+fn check_note(
     record: &RunRecord,
     req: &CallerRequest,
     exchange: &Exchange,
     grace: u64,
 ) -> Result<(), Violation> {
-    // A host that says not-run for want of a note serves nothing; it states version 0.
+    // A host without a note refuses requests with the outcome not-run and states version 0.
     let stated = exchange.note.filter(|version| *version > 0);
-    let (Some(stated), Some(note)) = (stated, note_before(record, exchange.sent_at, grace)) else {
+    let (Some(stated), Some(note)) = (stated, note_in_force_at(record, exchange.sent_at, grace)) else {
         return Ok(());
     };
     if stated >= note.version {
@@ -56,7 +57,7 @@
     })
 }
 
-fn by_host(record: &RunRecord) -> BTreeMap<HostId, Vec<&Exchange>> {
+fn exchanges_by_host(record: &RunRecord) -> BTreeMap<HostId, Vec<&Exchange>> {
     let mut hosts: BTreeMap<HostId, Vec<&Exchange>> = BTreeMap::new();
     for exchange in record.requests.iter().flat_map(|req| &req.exchanges) {
         if exchange.note.is_some() && exchange.head_at.is_some() {
@@ -66,16 +67,16 @@
     hosts
 }
 
-/// An exchange that began after another one's answer must not state an older note.
-fn check_order(host: &HostId, seen: &[&Exchange], report: &mut Report) {
-    let mut heads: Vec<(u64, NoteVersion)> = seen
+/// Checks that an exchange that began after the answer of another exchange does not state an older note.
+fn check_order(host: &HostId, exchanges: &[&Exchange], report: &mut Report) {
+    let mut heads: Vec<(u64, NoteVersion)> = exchanges
         .iter()
         .filter_map(|exchange| Some((exchange.head_at?, exchange.note?)))
         .collect();
     heads.sort_unstable();
     let mut newest: NoteVersion = 0;
     let mut heads = heads.into_iter().peekable();
-    for exchange in seen {
+    for exchange in exchanges {
         while let Some((_, version)) = heads.next_if(|(at, _)| *at < exchange.sent_at) {
             newest = newest.max(version);
         }
@@ -89,18 +90,14 @@
                 after: stated,
             })
         };
-        report.note(Promise::NotesInForce, found);
+        report.record(Promise::NotesInForce, found);
     }
 }
 
-/// A new draft runs on the version of a note that was in force when it came, or accepted since.
-fn version_in_force(
-    record: &RunRecord,
-    target: &TargetId,
-    run: &DraftRun,
-    grace: u64,
-) -> Result<(), Violation> {
-    let Some(oldest) = note_before(record, run.at_micros, grace) else {
+/// Checks that a new draft runs on the weight version of a note that was in force when the draft started, or
+/// of a newer one.
+fn check_version(record: &RunRecord, target: &TargetId, run: &DraftRun, grace: u64) -> Result<(), Violation> {
+    let Some(oldest) = note_in_force_at(record, run.at_micros, grace) else {
         return Ok(());
     };
     let mut allowed = record
--- a/components/checker/src/rules/outcomes.rs
+++ b/components/checker/src/rules/outcomes.rs
@@ -5,22 +5,22 @@
 
 use crate::{CallerRequest, Exchange, Promise, Report, RunRecord, Violation};
 
-/// Checks that no target ran a request of which a caller was told `not-run`.
+/// Checks that no target ran a request whose caller received the outcome `not-run`.
 pub(crate) fn check(record: &RunRecord, report: &mut Report) {
-    let ran = ran(record);
+    let ran = targets_by_request(record);
     for req in &record.requests {
-        let refused = req
+        let not_run = req
             .exchanges
             .iter()
             .filter(|e| e.outcome == Some(Outcome::NotRun));
-        for exchange in refused {
-            report.note(Promise::TrueNotRun, is_true(req, exchange, &ran));
+        for exchange in not_run {
+            report.record(Promise::TrueNotRun, check_not_run(req, exchange, &ran));
         }
     }
 }
 
-/// Targets by the identifier of the request that they ran.
-fn ran(record: &RunRecord) -> HashMap<String, TargetId> {
+/// Returns the target that ran each request, by the identifier of the request.
+fn targets_by_request(record: &RunRecord) -> HashMap<String, TargetId> {
     let mut ran = HashMap::new();
     for (target, engine) in &record.engines {
         for run in &engine.drafts {
@@ -35,7 +35,7 @@
     ran
 }
 
-fn is_true(
+fn check_not_run(
     req: &CallerRequest,
     exchange: &Exchange,
     ran: &HashMap<String, TargetId>,
--- a/components/checker/src/violation.rs
+++ b/components/checker/src/violation.rs
@@ -1,21 +1,21 @@
 use targets::PieceId;
 use utils::{HostId, NoteVersion, TargetId, WeightVersion, WorkspaceId};
 
-/// A fact that breaks a promise.
+/// A violation of a promise.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum Violation {
-    /// A draft used a block whose content was not right.
+    /// A draft used a cache piece with damaged content.
     #[error("{target}: request {request:032x} used the damaged piece {piece}")]
     DamagedPiece {
         target: TargetId,
         request: u128,
         piece: PieceId,
     },
-    /// An engine accepted a piece whose content was not right.
+    /// An engine accepted the import of a cache piece with damaged content.
     #[error("{target}: imported the damaged piece {piece}")]
     DamagedImport { target: TargetId, piece: PieceId },
-    /// A draft used a block of another workspace.
+    /// A draft used a cache piece of another workspace.
     #[error("{target}: workspace {user} used the piece {piece} of workspace {owner}")]
     ForeignPiece {
         target: TargetId,
@@ -23,7 +23,7 @@
         owner: WorkspaceId,
         user: WorkspaceId,
     },
-    /// A target ran a request under another workspace than its caller's.
+    /// A target ran a request in a workspace other than the caller's.
     #[error("{target}: request {request} of workspace {owner} ran as workspace {ran_as}")]
     ForeignRun {
         target: TargetId,
@@ -31,43 +31,43 @@
         owner: WorkspaceId,
         ran_as: WorkspaceId,
     },
-    /// A draft used a block of another weight version.
+    /// A draft used a cache piece that another weight version computed.
     #[error("{target}: version {used_by} used a piece of version {computed_by}")]
     MixedVersions {
         target: TargetId,
         used_by: WeightVersion,
         computed_by: WeightVersion,
     },
-    /// A new request ran on a version that was not in force.
+    /// A new request started on a weight version that was not in force.
     #[error("{target}: request {request:032x} started on version {version}, which was not in force")]
     VersionNotInForce {
         target: TargetId,
         request: u128,
         version: WeightVersion,
     },
-    /// An answer is not the one of any single weight version.
+    /// The tokens of an answer match no single weight version.
     #[error(
         "request {number}: its {tokens} tokens are not the answer of any one weight version to its prompt"
     )]
     WrongAnswer { number: u64, tokens: usize },
-    /// A caller was told that its answer is whole and tokens are missing or too many.
+    /// An answer that was marked complete has too few or too many tokens.
     #[error("request {number}: a whole answer has {received} of {expected} tokens")]
     WrongLength {
         number: u64,
         received: usize,
         expected: u32,
     },
-    /// A call's answer is not the answer to that call.
+    /// The answer to a call does not match the call.
     #[error("request {number}: the answer belongs to another call")]
     WrongReply { number: u64 },
-    /// A caller was told `not-run` and a target ran the request.
+    /// A caller received the outcome `not-run`, but a target ran the request.
     #[error("request {number}: told not-run, but {target} ran {request}")]
     FalseNotRun {
         number: u64,
         request: String,
         target: TargetId,
     },
-    /// A call that may not be repeated ran more than once.
+    /// A non-repeatable call ran more than once.
     #[error("workspace {workspace}: key {key} of {service} ran {runs} times")]
     RanAgain {
         workspace: WorkspaceId,
@@ -75,16 +75,16 @@
         key: String,
         runs: usize,
     },
-    /// A caller was told that its call ran and no target ran it.
+    /// A caller received the outcome `ran`, but no target ran the call.
     #[error("request {number}: told that it ran, but no target ran its key")]
     NeverRan { number: u64 },
-    /// A leaving target got new work.
+    /// A leaving target received new work after the grace period.
     #[error("{target}: got new work {late_micros} microseconds after the grace period of its leaving")]
     WorkAfterLeave { target: TargetId, late_micros: u64 },
-    /// A graceful shutdown cut off a request.
+    /// A graceful shutdown interrupted a request.
     #[error("{host}: request {number} was cut off by a graceful shutdown")]
     CutOff { host: HostId, number: u64 },
-    /// A host served under an older note than the one in force.
+    /// A host served a request under a release note older than the one in force.
     #[error("{host}: served request {number} under note {stated}, when {accepted} was in force")]
     StaleNote {
         host: HostId,
@@ -92,7 +92,7 @@
         stated: NoteVersion,
         accepted: NoteVersion,
     },
-    /// A host went back to an older note.
+    /// A host reverted to an older release note.
     #[error("{host}: went back from note {before} to {after}")]
     RevertedNote {
         host: HostId,
--- a/components/checker/tests/mutants.rs
+++ b/components/checker/tests/mutants.rs
@@ -1,4 +1,4 @@
-//! Breaks each promise on purpose, once, in a record that keeps them all.
+//! Introduces violations of each promise, one at a time, into a record without violations.
 
 use std::time::Duration;
 
@@ -115,7 +115,7 @@
     }
 }
 
-/// A run in which every promise is kept and has something to check.
+/// Returns a record without violations that has at least one check for every promise.
 fn healthy() -> RunRecord {
     let drafts = [draft(1, "mill", 20 * SECOND), draft(2, "yard", 21 * SECOND)];
     let mut refused = draft(3, "mill", 22 * SECOND);
@@ -159,7 +159,7 @@
     }
 }
 
-/// What a check says once `mutate` has changed the healthy record.
+/// Returns the promises that are violated after `mutate` has changed the healthy record.
 fn broken_by(mutate: impl FnOnce(&mut RunRecord)) -> Vec<Promise> {
     let mut record = healthy();
     mutate(&mut record);
--- a/components/checker/tests/switch.rs
+++ b/components/checker/tests/switch.rs
@@ -1,4 +1,4 @@
-//! Breaks a promise with a test-only switch of the stand-ins, over real sockets.
+//! Violates promises with fault switches of the stand-ins, over real sockets.
 
 use std::sync::Arc;
 
@@ -36,7 +36,8 @@
     tokens
 }
 
-/// Lets the second engine import the first one's piece from a store that corrupts it; gives its record.
+/// Lets the second engine import the first engine's piece from a store that corrupts it, and returns the
+/// second engine's record.
 async fn run(ex: &Executor, faults: EngineFaults) -> RunRecord {
     let addr = ([127, 0, 0, 1], 0).into();
     let client = Client::new(ex.clone(), ClientConfig::default());
