--- a/components/peers/src/keys.rs
+++ b/components/peers/src/keys.rs
@@ -11,24 +11,25 @@
 
 use crate::PeerError;
 
-/// Permissions of written files.
+/// File mode of written files: readable and writable by the owner only.
 const OWNER_ONLY: u32 = 0o600;
 
-/// Certificate and private key of one host, PEM.
+/// Certificate and private key of a host, in PEM format.
 #[derive(Clone)]
 pub struct HostKeys {
-    /// The host.
+    /// Name of the host.
     pub host: HostId,
-    /// Certificate signed by the authority.
+    /// Certificate signed by the authority, in PEM format.
     pub certificate: String,
-    /// Private key.
+    /// Private key, in PEM format.
     pub key: String,
 }
 
-/// Makes an authority and keys for hosts. Returns the authority's certificate; its private key is not kept.
+/// Generates an authority and the keys of hosts that it signs. Returns the authority's certificate and the
+/// keys; the authority's private key is discarded.
 ///
 /// # Errors
-/// [`PeerError::KeysNotWritten`] if a name can not stand in a certificate.
+/// [`PeerError::KeysNotWritten`] if a name is not valid in a certificate or a key can not be generated.
 ///
 /// ```
 /// let (authority, keys) = peers::generate_keys(&["entry-1".into()])?;
@@ -55,10 +56,11 @@
     Ok((authority.pem(), keys))
 }
 
-/// Makes an authority and keys for hosts, and writes `authority.pem`, `HOST.pem` and `HOST.key` to `dir`.
+/// Generates an authority and the keys of hosts, and writes `authority.pem`, `HOST.pem` and `HOST.key` to
+/// `dir`.
 ///
 /// # Errors
-/// [`PeerError::KeysNotWritten`] if a file can not be written.
+/// [`PeerError::KeysNotWritten`] if the keys can not be generated or a file can not be written.
 pub fn write_keys(dir: &Path, hosts: &[HostId]) -> Result<(), Report<PeerError>> {
     let (authority, keys) = generate_keys(hosts)?;
     std::fs::create_dir_all(dir).change_context(PeerError::KeysNotWritten)?;
@@ -70,7 +72,7 @@
     Ok(())
 }
 
-/// Writes a file that only its owner may read.
+/// Writes a file and creates it with [`OWNER_ONLY`] permissions.
 fn write(path: &Path, text: &str) -> Result<(), Report<PeerError>> {
     let mut file = std::fs::OpenOptions::new()
         .write(true)
--- a/components/peers/src/lib.rs
+++ b/components/peers/src/lib.rs
@@ -1,4 +1,5 @@
-//! Traffic between entry hosts: QUIC connections with mutual TLS, heartbeats as datagrams, larger things as streams.
+//! Traffic between entry hosts over QUIC connections with mutual TLS: heartbeats as datagrams, queries as
+//! streams.
 
 mod error;
 mod keys;
--- a/components/peers/src/link.rs
+++ b/components/peers/src/link.rs
@@ -7,47 +7,48 @@
 use rand::RngExt;
 use utils::HostId;
 
-/// Shortest time between two connections opened to the same host.
+/// Minimum time between a successful connection to a host and the next attempt to open one.
 const MIN_REDIAL: Duration = Duration::from_secs(1);
 
-/// Connections to one other host.
+/// State of the connection to another host.
 #[derive(Default)]
 pub(crate) struct Link {
-    /// The latest connection, whichever end opened it.
+    /// The latest connection, opened by either end.
     connection: Option<Connection>,
-    /// Whether a new connection is being opened.
+    /// Whether an attempt to open a connection is in progress.
     dialing: bool,
-    /// Waits between failed tries.
+    /// Backoff after failed attempts.
     backoff: Backoff,
-    /// No try before this time.
+    /// Earliest time of the next attempt; `None` permits one immediately.
     retry_at: Option<Instant>,
-    /// Sent when the connection stands.
-    waiting: Option<Bytes>,
+    /// Latest datagram to send once a connection is open.
+    pending: Option<Bytes>,
 }
 
-/// Connections by host.
+/// Connection state of all other hosts.
 #[derive(Default)]
 pub(crate) struct Links {
-    /// Links by name.
+    /// Links by name of the host.
     by_host: HashMap<HostId, Link>,
-    /// Whether the transport shuts down.
+    /// Whether the transport is shutting down; no connection is opened then.
     pub(crate) closed: bool,
 }
 
 impl Links {
-    /// The connection to a host, if there is an open one.
-    pub(crate) fn open(&self, host: &str) -> Option<Connection> {
+    /// Returns the connection to a host if it is open.
+    pub(crate) fn open_connection(&self, host: &str) -> Option<Connection> {
         let link = self.by_host.get(host)?;
         let connection = link.connection.as_ref()?;
         connection.close_reason().is_none().then(|| connection.clone())
     }
 
-    /// Keeps the latest datagram for a host until a connection to it stands.
-    pub(crate) fn keep(&mut self, host: &HostId, datagram: Bytes) {
-        self.by_host.entry(host.clone()).or_default().waiting = Some(datagram);
+    /// Stores a datagram to send once a connection to the host is open, in place of an earlier one.
+    pub(crate) fn set_pending(&mut self, host: &HostId, datagram: Bytes) {
+        self.by_host.entry(host.clone()).or_default().pending = Some(datagram);
     }
 
-    /// Whether a new connection to the host may be opened now; if so, it counts as being opened.
+    /// Returns whether a new connection to the host may be opened now, and if so marks an attempt as in
+    /// progress.
     pub(crate) fn start_dial(&mut self, host: &HostId, now: Instant) -> bool {
         let link = self.by_host.entry(host.clone()).or_default();
         if self.closed || link.dialing || link.retry_at.is_some_and(|at| now < at) {
@@ -57,7 +58,7 @@
         true
     }
 
-    /// Records a failed try.
+    /// Records a failed attempt and schedules the next one after the backoff.
     pub(crate) fn dial_failed(&mut self, host: &str, now: Instant) {
         let Some(link) = self.by_host.get_mut(host) else {
             return;
@@ -68,8 +69,8 @@
         link.retry_at = Some(now + wait);
     }
 
-    /// Makes a connection that this host opened the one in use; returns the one that it replaces and the
-    /// datagram that waits.
+    /// Records a connection that this host opened as the current one. Returns the connection that it replaces
+    /// and the pending datagram.
     pub(crate) fn dialed(
         &mut self,
         host: &HostId,
@@ -81,13 +82,14 @@
         link.backoff.succeed();
         link.retry_at = Some(now + MIN_REDIAL);
         let old = link.connection.replace(connection);
-        (old, link.waiting.take())
+        (old, link.pending.take())
     }
 
-    /// Uses a connection that the other end opened, as the latest to work.
+    /// Records a connection that the other end opened as the current one, since it is the latest to work.
+    /// Returns the pending datagram.
     pub(crate) fn accepted(&mut self, host: &HostId, connection: Connection) -> Option<Bytes> {
         let link = self.by_host.entry(host.clone()).or_default();
         link.connection = Some(connection);
-        link.waiting.take()
+        link.pending.take()
     }
 }
--- a/components/peers/src/name.rs
+++ b/components/peers/src/name.rs
@@ -7,10 +7,10 @@
 
 use crate::PeerError;
 
-/// Longest name of a host, in bytes.
+/// Maximum length of a host's name, in bytes.
 const MAX_NAME_BYTES: usize = 255;
 
-/// Tells the other end who opens the connection. It checks the name against the certificate.
+/// Sends the name of this host to the other end, which checks it against the certificate.
 pub(crate) async fn send_name(connection: &Connection, name: &str) -> Result<(), Report<PeerError>> {
     let mut stream = connection
         .open_uni()
@@ -23,7 +23,7 @@
     stream.finish().change_context(PeerError::NotConnected)
 }
 
-/// Reads who opened the connection.
+/// Receives the name of the host that opened the connection and checks it against the certificate.
 pub(crate) async fn receive_name(connection: &Connection) -> Result<HostId, Report<PeerError>> {
     let mut stream = connection
         .accept_uni()
--- a/components/peers/src/runtime.rs
+++ b/components/peers/src/runtime.rs
@@ -8,9 +8,10 @@
 
 use crate::Executor;
 
-/// Runs quinn's tasks on the transport's executor and keeps them, so that they can be joined.
+/// Runs the tasks of quinn and the transport on the transport's executor and tracks them for
+/// [`JoinedRuntime::join`].
 pub(crate) struct JoinedRuntime {
-    /// Runs the tasks.
+    /// Executor that runs the tasks.
     ex: Executor,
     /// Tasks that may still run.
     tasks: Mutex<Vec<smol::Task<()>>>,
@@ -24,7 +25,7 @@
         })
     }
 
-    /// Runs a task until [`JoinedRuntime::join`].
+    /// Spawns a task, which [`JoinedRuntime::join`] cancels.
     pub(crate) fn run(&self, future: impl Future<Output = ()> + Send + 'static) {
         let task = self.ex.spawn(future);
         let mut tasks = self.tasks.lock().unwrap_or_else(PoisonError::into_inner);
@@ -32,7 +33,7 @@
         tasks.push(task);
     }
 
-    /// Cancels all tasks and waits for their end.
+    /// Cancels all tasks and waits until they have ended.
     pub(crate) async fn join(&self) {
         loop {
             let task = self.tasks.lock().unwrap_or_else(PoisonError::into_inner).pop();
--- a/components/peers/src/tls.rs
+++ b/components/peers/src/tls.rs
@@ -13,29 +13,31 @@
 
 use crate::PeerError;
 
-/// Longest silence after which a connection is given up; heartbeats notice much earlier.
+/// Time without traffic after which a connection is closed; heartbeats detect a failed connection much
+/// earlier.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Datagrams that wait for a receiver, in bytes.
+/// Size of the send and the receive buffer for datagrams, in bytes.
 const DATAGRAM_BUFFER_BYTES: usize = 64 << 10;
-/// Streams that the other end may open at once.
+/// Maximum number of concurrent streams of each kind that the other end may open.
 const MAX_STREAMS: u32 = 16;
-/// Protocol that both ends must speak.
+/// ALPN protocol that both ends must support.
 const PROTOCOL: &[u8] = b"laburnumtally-peers/1";
 
-/// TLS of both directions: each end shows a certificate that the shared authority signed.
+/// TLS configuration for both directions; each end presents a certificate signed by the shared authority.
 #[derive(Clone)]
 pub struct PeerTls {
-    /// For connections that other hosts open.
+    /// Configuration for connections that other hosts open.
     pub(crate) server: ServerConfig,
-    /// For connections that this host opens.
+    /// Configuration for connections that this host opens.
     pub(crate) client: ClientConfig,
 }
 
 impl PeerTls {
-    /// Reads the files that the settings name.
+    /// Loads the certificates and the key from the files in the settings.
     ///
     /// # Errors
-    /// [`PeerError::NoKeys`] if one is not named, [`PeerError::UnreadableKeys`] if it can not be used.
+    /// [`PeerError::NoKeys`] if a path is not set, [`PeerError::UnreadableKeys`] if a file can not be read or
+    /// used.
     pub fn load(settings: &PeerSettings) -> Result<Self, Report<PeerError>> {
         let (Some(authority), Some(certificate), Some(key)) =
             (&settings.authority, &settings.certificate, &settings.key)
@@ -45,7 +47,8 @@
         Self::from_pem(&read(authority)?, &read(certificate)?, &read(key)?)
     }
 
-    /// Takes the authority's certificate and this host's certificate and private key, PEM.
+    /// Builds the configuration from the authority's certificate, this host's certificate and its private
+    /// key, all in PEM format.
     ///
     /// # Errors
     /// [`PeerError::UnreadableKeys`] if one of them can not be used.
--- a/components/peers/src/transport.rs
+++ b/components/peers/src/transport.rs
@@ -14,42 +14,42 @@
 use crate::runtime::JoinedRuntime;
 use crate::{PeerError, PeerTls};
 
-/// Largest question or answer on a stream, in bytes.
+/// Maximum size of a query or an answer on a stream, in bytes.
 pub const MAX_STREAM_BYTES: usize = 1 << 20;
-/// Longest wait for a new connection.
+/// Maximum time to open a connection and exchange names.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest wait for the answer to a question.
-const ASK_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time in which the other ends are told that the connections close.
-const CLOSE_FLUSH: Duration = Duration::from_millis(100);
-/// Arrivals that wait for the control loop; later ones are dropped.
-const ARRIVALS: usize = 1_024;
+/// Maximum time for a query and its answer.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time to send the close frames of all connections on shutdown.
+const CLOSE_FLUSH_TIME: Duration = Duration::from_millis(100);
+/// Capacity of the queue of received messages for the control loop; further messages are dropped.
+const INBOUND_CAPACITY: usize = 1_024;
 
-/// Runs the transport's tasks.
+/// Executor that runs the transport's tasks.
 pub type Executor = Arc<smol::Executor<'static>>;
 
-/// What came from another host.
+/// A message received from another host.
 #[derive(Debug)]
 pub enum InboundMessage {
     /// A heartbeat.
     Heartbeat {
-        /// The sender, by its certificate.
+        /// Name of the sender, verified against its certificate.
         from: HostId,
-        /// Its content.
+        /// The heartbeat.
         heartbeat: Heartbeat,
     },
-    /// A question on a stream.
+    /// A query on a stream.
     Query {
-        /// The sender, by its certificate.
+        /// Name of the sender, verified against its certificate.
         from: HostId,
-        /// The question.
+        /// Content of the query.
         body: Vec<u8>,
-        /// Takes the answer.
+        /// Channel that takes the answer.
         answer: async_channel::Sender<Vec<u8>>,
     },
 }
 
-/// How to start a transport.
+/// Options to start a transport.
 pub struct TransportOptions {
     /// Name of this host, as in its certificate.
     pub host: HostId,
@@ -61,11 +61,12 @@
 
 /// Connections to other entry hosts.
 ///
-/// Each connection that this host opens has its own socket: a replacement takes another path
-/// through whatever lost track of the old one.
+/// Each connection that this host opens has its own socket. A replacement connection thus has a new source
+/// port, and a network device on the path that has lost the state of the old connection treats it as a new
+/// flow.
 #[derive(Clone)]
 pub struct Transport {
-    /// Shared with the tasks.
+    /// State shared with the tasks.
     inner: Arc<Inner>,
 }
 
@@ -74,24 +75,24 @@
     host: HostId,
     /// Keys.
     tls: PeerTls,
-    /// Takes connections.
+    /// Endpoint that accepts connections.
     endpoint: Endpoint,
-    /// Address that takes connections.
+    /// Local address of the endpoint.
     addr: SocketAddr,
-    /// Runs and keeps all tasks.
+    /// Runs and tracks all tasks.
     runtime: Arc<JoinedRuntime>,
-    /// Connections by host.
+    /// Connection state by host.
     links: Mutex<Links>,
-    /// Takes what arrives.
-    arrived: async_channel::Sender<InboundMessage>,
-    /// Ends all tasks when it is closed.
+    /// Queue of received messages.
+    inbound: async_channel::Sender<InboundMessage>,
+    /// Resolves when `stopper` is closed, which ends the tasks.
     stop: async_channel::Receiver<()>,
-    /// Closes `stop`.
+    /// Sending half of `stop`.
     stopper: async_channel::Sender<()>,
 }
 
 impl Transport {
-    /// Listens, and returns what arrives.
+    /// Binds the listen address and returns the transport with the queue of received messages.
     ///
     /// # Errors
     /// [`PeerError::Bind`] if the address can not be used.
@@ -105,7 +106,7 @@
         let endpoint = Endpoint::new(EndpointConfig::default(), server, socket, runtime.clone())
             .change_context(PeerError::Bind)?;
         let addr = endpoint.local_addr().change_context(PeerError::Bind)?;
-        let (arrived, arrivals) = async_channel::bounded(ARRIVALS);
+        let (inbound, messages) = async_channel::bounded(INBOUND_CAPACITY);
         let (stopper, stop) = async_channel::bounded(1);
         let inner = Arc::new(Inner {
             host: options.host,
@@ -114,48 +115,51 @@
             addr,
             runtime: runtime.clone(),
             links: Mutex::default(),
-            arrived,
+            inbound,
             stop,
             stopper,
         });
         runtime.run(accept(inner.clone()));
-        Ok((Self { inner }, arrivals))
+        Ok((Self { inner }, messages))
     }
 
-    /// The address that takes connections.
+    /// Returns the address that accepts connections.
     pub fn local_addr(&self) -> SocketAddr {
         self.inner.addr
     }
 
-    /// Sends a heartbeat; opens a connection to `addr` first if there is none. Heartbeats may be lost.
+    /// Sends a heartbeat, which may be lost. Without an open connection it stores the heartbeat and opens a
+    /// connection to `addr`, if there is an address.
     pub fn send(&self, to: &HostId, addr: Option<SocketAddr>, heartbeat: &Heartbeat) {
         let Ok(bytes) = heartbeat.encode() else {
             return;
         };
         let datagram = Bytes::from(bytes);
-        let connection = self.inner.links().open(to);
+        let connection = self.inner.links().open_connection(to);
         if let Some(connection) = connection {
-            // A datagram that can not be sent counts as lost; the echo will be missing.
+            // A datagram that can not be sent counts as lost; the sender detects it by the missing echo.
             let _ = connection.send_datagram(datagram);
             return;
         }
-        self.inner.links().keep(to, datagram);
+        self.inner.links().set_pending(to, datagram);
         if let Some(addr) = addr {
             self.dial(to, addr);
         }
     }
 
-    /// Opens a new connection to a host that went silent; the old one is closed when the new one stands.
+    /// Opens a new connection to a host that no longer answers. The old connection is closed once the new one
+    /// is open.
     pub fn reconnect(&self, to: &HostId, addr: SocketAddr) {
         self.dial(to, addr);
     }
 
-    /// Asks a host a question on a stream.
+    /// Sends a query to a host on a stream and returns the answer.
     ///
     /// # Errors
-    /// [`PeerError`] if there is no connection, or no answer in time.
+    /// [`PeerError::NotConnected`] without an open connection, [`PeerError::ConnectionLost`] if the
+    /// connection fails, [`PeerError::TimedOut`] if the answer does not arrive in time.
     pub async fn query(&self, to: &HostId, body: &[u8]) -> Result<Vec<u8>, Report<PeerError>> {
-        let connection = self.inner.links().open(to);
+        let connection = self.inner.links().open_connection(to);
         let connection = connection.ok_or(PeerError::NotConnected)?;
         let exchange = async {
             let (mut tx, mut rx) = connection
@@ -170,7 +174,7 @@
                 .await
                 .change_context(PeerError::ConnectionLost)
         };
-        exchange.or(timeout(ASK_TIMEOUT)).await
+        exchange.or(timeout(QUERY_TIMEOUT)).await
     }
 
     /// Closes all connections and ends all tasks.
@@ -178,8 +182,8 @@
         self.inner.links().closed = true;
         self.inner.stopper.close();
         self.inner.endpoint.close(0_u32.into(), b"shutdown");
-        self.inner.arrived.close();
-        smol::Timer::after(CLOSE_FLUSH).await;
+        self.inner.inbound.close();
+        smol::Timer::after(CLOSE_FLUSH_TIME).await;
         self.inner.runtime.join().await;
     }
 
@@ -212,11 +216,11 @@
 
 async fn accept(inner: Arc<Inner>) {
     while let Some(incoming) = inner.endpoint.accept().await {
-        inner.runtime.run(take_incoming(inner.clone(), incoming));
+        inner.runtime.run(handle_incoming(inner.clone(), incoming));
     }
 }
 
-async fn take_incoming(inner: Arc<Inner>, incoming: Incoming) {
+async fn handle_incoming(inner: Arc<Inner>, incoming: Incoming) {
     let handshake = async {
         let connection = incoming.await.change_context(PeerError::NotConnected)?;
         match receive_name(&connection).await {
@@ -230,9 +234,9 @@
     let Ok((connection, from)) = handshake.or(timeout(CONNECT_TIMEOUT)).await else {
         return;
     };
-    let waiting = inner.links().accepted(&from, connection.clone());
-    send_waiting(&connection, waiting);
-    read(inner, connection, from).await;
+    let pending = inner.links().accepted(&from, connection.clone());
+    send_pending(&connection, pending);
+    read_messages(inner, connection, from).await;
 }
 
 async fn dial(inner: Arc<Inner>, to: HostId, addr: SocketAddr) {
@@ -244,12 +248,12 @@
             return;
         }
     };
-    let (old, waiting) = inner.links().dialed(&to, connection.clone(), Instant::now());
+    let (old, pending) = inner.links().dialed(&to, connection.clone(), Instant::now());
     if let Some(old) = old {
         old.close(0_u32.into(), b"replaced");
     }
-    send_waiting(&connection, waiting);
-    read(inner, connection, to).await;
+    send_pending(&connection, pending);
+    read_messages(inner, connection, to).await;
     endpoint.close(0_u32.into(), b"");
 }
 
@@ -270,14 +274,14 @@
     Ok((endpoint, connection))
 }
 
-fn send_waiting(connection: &Connection, waiting: Option<Bytes>) {
-    if let Some(datagram) = waiting {
+fn send_pending(connection: &Connection, pending: Option<Bytes>) {
+    if let Some(datagram) = pending {
         let _ = connection.send_datagram(datagram);
     }
 }
 
 /// Reads datagrams and streams until the connection ends.
-async fn read(inner: Arc<Inner>, connection: Connection, from: HostId) {
+async fn read_messages(inner: Arc<Inner>, connection: Connection, from: HostId) {
     let stop = inner.stop.clone();
     let stopped = async {
         let _ = stop.recv().await;
@@ -294,7 +298,7 @@
         if let Ok(heartbeat) = Heartbeat::decode(&datagram) {
             let from = from.clone();
             let _ = inner
-                .arrived
+                .inbound
                 .try_send(InboundMessage::Heartbeat { from, heartbeat });
         }
     }
@@ -302,12 +306,12 @@
 
 async fn read_streams(inner: &Inner, connection: &Connection, from: &HostId) {
     while let Ok((tx, rx)) = connection.accept_bi().await {
-        // One question after the other: a peer can not make this host hold many.
-        let _ = answer(inner, from, tx, rx).or(timeout(ASK_TIMEOUT)).await;
+        // Queries are answered one at a time, which limits the memory that a peer can occupy.
+        let _ = answer_query(inner, from, tx, rx).or(timeout(QUERY_TIMEOUT)).await;
     }
 }
 
-async fn answer(
+async fn answer_query(
     inner: &Inner,
     from: &HostId,
     mut tx: SendStream,
@@ -317,17 +321,17 @@
         .read_to_end(MAX_STREAM_BYTES)
         .await
         .change_context(PeerError::ConnectionLost)?;
-    let (answer, answered) = async_channel::bounded(1);
-    let question = InboundMessage::Query {
+    let (answer, answer_rx) = async_channel::bounded(1);
+    let query = InboundMessage::Query {
         from: from.clone(),
         body,
         answer,
     };
     inner
-        .arrived
-        .try_send(question)
+        .inbound
+        .try_send(query)
         .map_err(|_| PeerError::ConnectionLost)?;
-    let answer = answered.recv().await.change_context(PeerError::ConnectionLost)?;
+    let answer = answer_rx.recv().await.change_context(PeerError::ConnectionLost)?;
     tx.write_all(&answer)
         .await
         .change_context(PeerError::ConnectionLost)?;
--- a/components/peers/tests/keys.rs
+++ b/components/peers/tests/keys.rs
@@ -1,4 +1,5 @@
-//! Who gets in: only hosts whose certificate the authority signed, under their own name.
+//! Authentication of peers: only hosts with a certificate signed by the authority connect, and only under
+//! their own name.
 
 mod support;
 
@@ -27,7 +28,7 @@
     Heartbeat::new(1, Body::Probe { nonce: 5 })
 }
 
-/// Whether a heartbeat that `from` sends to `to` for two seconds arrives.
+/// Returns whether a heartbeat arrives that `from` sends to `to` repeatedly for two seconds.
 async fn arrives(
     from: &Transport,
     to: (&str, &Transport),
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn only_signed_hosts_get_in_under_their_own_name() {
+fn only_signed_hosts_connect_and_only_under_their_own_name() {
     let ex = executor();
     smol::block_on(ex.run(async {
         let names = ["entry-1".into(), "entry-2".into(), "entry-3".into()];
@@ -52,19 +53,19 @@
         let (foreign, foreign_keys) = generate_keys(&names).expect("keys");
         let (one, one_rx) = bind(&ex, &authority, &keys[0], "entry-1", 0);
         let (two, two_rx) = bind(&ex, &authority, &keys[1], "entry-2", 1);
-        let (stranger, stranger_rx) = bind(&ex, &foreign, &foreign_keys[1], "entry-2", 2);
-        let (pretender, pretender_rx) = bind(&ex, &authority, &keys[2], "entry-2", 3);
+        let (untrusted, untrusted_rx) = bind(&ex, &foreign, &foreign_keys[1], "entry-2", 2);
+        let (impostor, impostor_rx) = bind(&ex, &authority, &keys[2], "entry-2", 3);
 
         assert!(arrives(&two, ("entry-1", &one), &one_rx).await);
         assert!(arrives(&one, ("entry-2", &two), &two_rx).await);
-        assert!(!arrives(&stranger, ("entry-1", &one), &one_rx).await);
-        assert!(!arrives(&one, ("entry-3", &stranger), &stranger_rx).await);
-        assert!(!arrives(&pretender, ("entry-1", &one), &one_rx).await);
-        let asked = pretender.query(&"entry-1".into(), b"x").await;
-        assert!(asked.is_err());
+        assert!(!arrives(&untrusted, ("entry-1", &one), &one_rx).await);
+        assert!(!arrives(&one, ("entry-3", &untrusted), &untrusted_rx).await);
+        assert!(!arrives(&impostor, ("entry-1", &one), &one_rx).await);
+        let answer = impostor.query(&"entry-1".into(), b"x").await;
+        assert!(answer.is_err());
         assert!(one_rx.try_recv().is_err());
-        assert!(pretender_rx.try_recv().is_err());
-        for transport in [one, two, stranger, pretender] {
+        assert!(impostor_rx.try_recv().is_err());
+        for transport in [one, two, untrusted, impostor] {
             transport.shutdown().await;
         }
     }));
@@ -72,7 +73,7 @@
 }
 
 #[test]
-fn missing_keys_are_named() {
+fn missing_and_invalid_keys_are_reported() {
     let settings = config::PeerSettings::default();
     let error = PeerTls::load(&settings).err().expect("no keys");
     assert_eq!(*error.current_context(), PeerError::NoKeys);
--- a/components/peers/tests/sockets.rs
+++ b/components/peers/tests/sockets.rs
@@ -1,4 +1,5 @@
-//! Hosts with real sockets in one process: killed, paused, cut off, with silent connections.
+//! Failures of hosts with real sockets in one process: killed, paused and isolated hosts, and connections
+//! that drop all traffic.
 
 mod support;
 
@@ -9,7 +10,7 @@
 use support::relay::{self, SharedRules};
 use support::{executor, ip, listed, until};
 
-/// Starts hosts behind relays.
+/// Starts `count` hosts, each behind a relay.
 async fn start(ex: &peers::Executor, net: u8, count: usize, rules: &SharedRules) -> (Vec<Node>, SharedList) {
     let names: Vec<_> = (0..count).map(|i| format!("entry-{i}").into()).collect();
     let (authority, keys) = generate_keys(&names).expect("keys");
@@ -37,7 +38,7 @@
     }
 }
 
-fn all_heard(nodes: &[Node], least: usize) -> bool {
+fn all_reach(nodes: &[Node], least: usize) -> bool {
     nodes
         .iter()
         .all(|n| n.view.lock().expect("lock").reachable.len() >= least)
@@ -48,28 +49,28 @@
 }
 
 #[test]
-fn killed_host_leaves_the_views_of_two_dozen() {
+fn killed_host_leaves_the_views_of_23_other_hosts() {
     let ex = executor();
     smol::block_on(ex.run(async {
         let rules = SharedRules::default();
         let (mut nodes, _list) = start(&ex, 2, 24, &rules).await;
-        until("all heard", || all_heard(&nodes, 2)).await;
+        until("all hosts reachable", || all_reach(&nodes, 2)).await;
         nodes.pop().expect("node").kill().await;
-        until("gone", || all_see(&nodes, 23)).await;
+        until("removed from all views", || all_see(&nodes, 23)).await;
         stop(nodes).await;
     }));
 }
 
 #[test]
-fn paused_host_finds_out_and_comes_back() {
+fn paused_host_detects_its_pause_and_rejoins() {
     let ex = executor();
     smol::block_on(ex.run(async {
         let rules = SharedRules::default();
         let (mut nodes, _list) = start(&ex, 6, 6, &rules).await;
-        until("all heard", || all_heard(&nodes, 5)).await;
+        until("all hosts reachable", || all_reach(&nodes, 5)).await;
         let paused = nodes.pop().expect("node");
         *paused.paused.lock().expect("lock") = true;
-        until("gone", || all_see(&nodes, 5)).await;
+        until("removed from all views", || all_see(&nodes, 5)).await;
         *paused.paused.lock().expect("lock") = false;
         until("pause noticed", || {
             let events = paused.events.lock().expect("lock");
@@ -77,19 +78,19 @@
         })
         .await;
         until("current again", || paused.view.lock().expect("lock").current).await;
-        until("back everywhere", || all_see(&nodes, 6)).await;
+        until("in all views again", || all_see(&nodes, 6)).await;
         paused.kill().await;
         stop(nodes).await;
     }));
 }
 
 #[test]
-fn cut_off_host_keeps_its_view_and_comes_back() {
+fn isolated_host_keeps_its_view_and_rejoins() {
     let ex = executor();
     smol::block_on(ex.run(async {
         let rules = SharedRules::default();
         let (nodes, _list) = start(&ex, 3, 6, &rules).await;
-        until("all heard", || all_heard(&nodes, 5)).await;
+        until("all hosts reachable", || all_reach(&nodes, 5)).await;
         for i in 1..6 {
             let mut rules = rules.lock().expect("lock");
             rules.blocked.insert((ip(3, 0), ip(3, i)));
@@ -110,25 +111,25 @@
         );
 
         rules.lock().expect("lock").blocked.clear();
-        until("back", || all_see(&nodes, 6)).await;
+        until("in all views again", || all_see(&nodes, 6)).await;
         until("rejoined", || !nodes[0].view.lock().expect("lock").isolated).await;
         stop(nodes).await;
     }));
 }
 
 #[test]
-fn connections_that_went_silent_for_good_are_replaced() {
+fn connections_that_drop_all_traffic_are_replaced() {
     let ex = executor();
     smol::block_on(ex.run(async {
         let rules = SharedRules::default();
         let (nodes, _list) = start(&ex, 4, 6, &rules).await;
-        until("all heard", || all_heard(&nodes, 5)).await;
+        until("all hosts reachable", || all_reach(&nodes, 5)).await;
         {
             let mut rules = rules.lock().expect("lock");
-            rules.forgotten = rules.flows;
+            rules.dropped_up_to = rules.flows;
         }
         let lost: Vec<_> = nodes.iter().map(|n| utils::Clock::now(&*n.clock)).collect();
-        until("all heard on new connections", || {
+        until("all hosts reachable on new connections", || {
             nodes.iter().zip(&lost).all(|(node, lost)| {
                 let view = node.view.lock().expect("lock");
                 view.reachable_since("north", *lost) == 5
@@ -141,12 +142,12 @@
 }
 
 #[test]
-fn emptied_list_flapping_target_and_questions() {
+fn emptied_list_flapping_target_and_queries() {
     let ex = executor();
     smol::block_on(ex.run(async {
         let rules = SharedRules::default();
         let (nodes, list) = start(&ex, 5, 3, &rules).await;
-        until("all heard", || all_heard(&nodes, 2)).await;
+        until("all hosts reachable", || all_reach(&nodes, 2)).await;
         let answer = nodes[0].transport.query(&"entry-1".into(), b"for detail").await;
         assert_eq!(answer.expect("answer"), b"entry-0 asks for detail");
 
@@ -165,7 +166,7 @@
         until("live after a wait", || liveness() == TargetLiveness::Live).await;
 
         let full = std::mem::take(&mut *list.lock().expect("lock"));
-        until("distrusted", || {
+        until("empty list distrusted", || {
             nodes.iter().all(|n| {
                 let events = n.events.lock().expect("lock");
                 events
--- a/components/peers/tests/support/mod.rs
+++ b/components/peers/tests/support/mod.rs
@@ -9,7 +9,7 @@
 
 use metadata::{HostRole, HostState, ListedHost};
 
-/// Address of host `number` of test `net`.
+/// Returns the address of host `number` of test `net`.
 pub(crate) fn ip(net: u8, number: usize) -> IpAddr {
     IpAddr::V4(Ipv4Addr::new(127, 77, net, number as u8 + 1))
 }
@@ -32,7 +32,7 @@
     }
 }
 
-/// Polls until the condition holds; a run that never gets there hangs until this limit.
+/// Polls until the condition holds; panics after 1,200 polls with pauses of 50 milliseconds.
 pub(crate) async fn until(what: &str, mut holds: impl FnMut() -> bool) {
     for _ in 0..1_200 {
         if holds() {
--- a/components/peers/tests/support/node.rs
+++ b/components/peers/tests/support/node.rs
@@ -10,10 +10,10 @@
 
 const TICK: Duration = Duration::from_millis(250);
 
-/// The list that all nodes read.
+/// List of hosts that all nodes read.
 pub(crate) type SharedList = Arc<Mutex<Vec<ListedHost>>>;
 
-/// A host with sockets and state, but nothing else.
+/// A host that consists only of a transport and a membership state.
 pub(crate) struct Node {
     pub(crate) transport: Transport,
     pub(crate) view: Arc<Mutex<MembershipView>>,
@@ -27,7 +27,7 @@
 pub(crate) struct Ready {
     identity: Identity,
     transport: Transport,
-    arrivals: async_channel::Receiver<InboundMessage>,
+    messages: async_channel::Receiver<InboundMessage>,
 }
 
 impl Ready {
@@ -45,7 +45,7 @@
             listen,
             tls,
         };
-        let (transport, arrivals) = Transport::bind(options, ex.clone()).expect("bind");
+        let (transport, messages) = Transport::bind(options, ex.clone()).expect("bind");
         let identity = Identity {
             id: host,
             region: region.into(),
@@ -54,7 +54,7 @@
         Self {
             identity,
             transport,
-            arrivals,
+            messages,
         }
     }
 
@@ -80,13 +80,13 @@
             paused: shared.paused.clone(),
             inputs,
             clock,
-            task: ex.spawn(shared.run(self.arrivals, rx, list.clone())),
+            task: ex.spawn(shared.run(self.messages, rx, list.clone())),
         }
     }
 }
 
 impl Node {
-    /// Ends the node without a word to the others.
+    /// Stops the node without notice of its leaving to the other nodes.
     pub(crate) async fn kill(self) {
         self.task.cancel().await;
         self.transport.shutdown().await;
@@ -109,7 +109,7 @@
 impl Loop {
     async fn run(
         mut self,
-        arrivals: async_channel::Receiver<InboundMessage>,
+        messages: async_channel::Receiver<InboundMessage>,
         inputs: async_channel::Receiver<Input>,
         list: SharedList,
     ) {
@@ -126,17 +126,17 @@
                 self.step(Input::List(list));
                 self.step(Input::Tick);
             }
-            let arrived = async { arrivals.recv().await.ok().map(Work::Arrived) };
-            let given = async { inputs.recv().await.ok().map(Work::Input) };
+            let message = async { messages.recv().await.ok().map(Work::Message) };
+            let input = async { inputs.recv().await.ok().map(Work::Input) };
             let tick = async {
                 smol::Timer::after(next.saturating_sub(now)).await;
                 None
             };
-            match arrived.or(given).or(tick).await {
-                Some(Work::Arrived(InboundMessage::Heartbeat { from, heartbeat })) => {
+            match message.or(input).or(tick).await {
+                Some(Work::Message(InboundMessage::Heartbeat { from, heartbeat })) => {
                     self.step(Input::Received { from, heartbeat });
                 }
-                Some(Work::Arrived(InboundMessage::Query { from, body, answer })) => {
+                Some(Work::Message(InboundMessage::Query { from, body, answer })) => {
                     let text = [from.as_bytes(), b" asks ", &body].concat();
                     let _ = answer.try_send(text);
                 }
@@ -168,6 +168,6 @@
 }
 
 enum Work {
-    Arrived(InboundMessage),
+    Message(InboundMessage),
     Input(Input),
 }
--- a/components/peers/tests/support/relay.rs
+++ b/components/peers/tests/support/relay.rs
@@ -5,14 +5,14 @@
 
 use smol::net::UdpSocket;
 
-/// What relays drop.
+/// Rules for the datagrams that relays drop.
 #[derive(Default)]
 pub(crate) struct Rules {
     /// Pairs of source and destination that can not reach each other.
     pub(crate) blocked: HashSet<(IpAddr, IpAddr)>,
-    /// Flows that began before this number are lost for good.
-    pub(crate) forgotten: u64,
-    /// Flows seen so far.
+    /// Flows up to this number are dropped permanently.
+    pub(crate) dropped_up_to: u64,
+    /// Number of flows so far.
     pub(crate) flows: u64,
 }
 
@@ -24,7 +24,7 @@
     _back: smol::Task<()>,
 }
 
-/// Passes datagrams to `target`; returns the address to use in its place.
+/// Starts a relay that forwards datagrams to `target`; returns the relay's address.
 pub(crate) async fn start(ex: &peers::Executor, target: SocketAddr, rules: SharedRules) -> SocketAddr {
     let front = UdpSocket::bind((target.ip(), 0)).await.expect("bind");
     let addr = front.local_addr().expect("address");
@@ -37,10 +37,10 @@
                 let flow = match flows.entry(from) {
                     Entry::Occupied(entry) => entry.into_mut(),
                     Entry::Vacant(entry) => {
-                        entry.insert(open(&ex, &front, from, target, rules.clone()).await)
+                        entry.insert(open_flow(&ex, &front, from, target, rules.clone()).await)
                     }
                 };
-                if passes(&rules, flow.number, from.ip(), target.ip()) {
+                if is_forwarded(&rules, flow.number, from.ip(), target.ip()) {
                     let _ = flow.upstream.send_to(&buf[..n], target).await;
                 }
             }
@@ -49,7 +49,7 @@
     addr
 }
 
-async fn open(
+async fn open_flow(
     ex: &peers::Executor,
     front: &UdpSocket,
     from: SocketAddr,
@@ -66,7 +66,7 @@
     let task = ex.spawn(async move {
         let mut buf = [0; 2_048];
         while let Ok((n, _)) = back.recv_from(&mut buf).await {
-            if passes(&rules, number, target.ip(), from.ip()) {
+            if is_forwarded(&rules, number, target.ip(), from.ip()) {
                 let _ = front.send_to(&buf[..n], from).await;
             }
         }
@@ -78,7 +78,7 @@
     }
 }
 
-fn passes(rules: &SharedRules, flow: u64, from: IpAddr, to: IpAddr) -> bool {
+fn is_forwarded(rules: &SharedRules, flow: u64, from: IpAddr, to: IpAddr) -> bool {
     let rules = rules.lock().expect("lock");
-    flow > rules.forgotten && !rules.blocked.contains(&(from, to))
+    flow > rules.dropped_up_to && !rules.blocked.contains(&(from, to))
 }
