--- a/components/http/src/body.rs
+++ b/components/http/src/body.rs
@@ -12,22 +12,22 @@
 /// Body of a request or response that this crate sends.
 pub type Body = UnsyncBoxBody<Bytes, HttpError>;
 
-/// The sending half of a [`channel_body`]. Dropping it ends the body; sending an error cuts it.
+/// The sending half of a [`channel_body`]. Dropping it ends the body; sending an error aborts the body.
 pub type BodySender = async_channel::Sender<Result<Bytes, HttpError>>;
 
-/// A body without content.
+/// Returns a body without content.
 pub fn empty_body() -> Body {
     Empty::new().map_err(|never| match never {}).boxed_unsync()
 }
 
-/// A body that is known in full.
+/// Returns a body with the given content.
 pub fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// A JSON body.
+/// Returns a JSON body; it is empty if the value can not be serialized.
 ///
 /// ```
 /// let body = http_io::json_body(&["a", "b"]);
@@ -36,22 +36,22 @@
     full_body(serde_json::to_vec(value).unwrap_or_default())
 }
 
-/// A body fed through a channel that holds at most `capacity` chunks.
+/// Returns a body and the channel for its chunks, which buffers at most `capacity` of them.
 pub fn channel_body(capacity: usize) -> (BodySender, Body) {
     let (tx, rx) = async_channel::bounded(capacity);
     (tx, stream_body(rx))
 }
 
-/// A body whose chunks come from a stream; the connection that sends the body drives the stream.
+/// Returns a body whose chunks come from a stream. The connection that sends the body polls the stream.
 pub fn stream_body(chunks: impl Stream<Item = Result<Bytes, HttpError>> + Send + 'static) -> Body {
     let frames = chunks.map(|chunk| chunk.map(Frame::data));
     BodyExt::boxed_unsync(StreamBody::new(frames))
 }
 
-/// Reads a whole body of at most `limit` bytes.
+/// Reads a complete body of at most `limit` bytes.
 ///
 /// # Errors
-/// [`HttpError::TooLarge`] over the limit, [`HttpError::Interrupted`] when the body breaks off.
+/// [`HttpError::TooLarge`] if the body exceeds the limit, [`HttpError::Interrupted`] if it ends early.
 pub async fn read_limited<B>(body: B, limit: usize) -> Result<Bytes, Report<HttpError>>
 where
     B: hyper::body::Body<Data = Bytes>,
@@ -67,7 +67,7 @@
 /// Reads a JSON body of at most `limit` bytes.
 ///
 /// # Errors
-/// As [`read_limited`], and [`HttpError::Malformed`] for what is not the expected JSON.
+/// As [`read_limited`], and [`HttpError::Malformed`] if the body is not JSON of the expected type.
 pub async fn read_json<T, B>(body: B, limit: usize) -> Result<T, Report<HttpError>>
 where
     T: DeserializeOwned,
--- a/components/http/src/client.rs
+++ b/components/http/src/client.rs
@@ -20,18 +20,18 @@
 use crate::pool::{Connection, Pool};
 use crate::{Body, Executor, HttpError, empty_body};
 
-/// Limits of a [`Client`].
+/// Timeouts and limits of a [`Client`].
 #[derive(Debug, Clone)]
 pub struct ClientConfig {
-    /// Longest time to open a connection.
+    /// Maximum time to open a connection.
     pub connect_timeout: Duration,
-    /// Longest time from sending a request to the head of its response.
+    /// Maximum time from sending a request to the head of its response.
     pub response_timeout: Duration,
-    /// Age at which an idle connection is not used again.
+    /// Idle time after which a connection is not reused.
     pub max_idle: Duration,
-    /// Most idle connections kept for one address.
+    /// Maximum number of idle connections per address.
     pub idle_per_address: usize,
-    /// Longest JSON body accepted, in bytes.
+    /// Maximum size of a JSON response body, in bytes.
     pub max_json_bytes: usize,
 }
 
@@ -47,23 +47,23 @@
     }
 }
 
-/// An HTTP client that keeps connections open. Its connections run on the given executor.
+/// HTTP client with a pool of idle connections. The connections run on the given executor.
 #[derive(Clone)]
 pub struct Client {
-    /// Runs the connections.
+    /// Executor that runs the connections.
     ex: Executor,
-    /// Limits.
+    /// Timeouts and limits.
     cfg: Arc<ClientConfig>,
-    /// Idle connections.
+    /// Pool of idle connections.
     pool: Arc<Pool>,
 }
 
-/// A response body that returns its connection to the pool after the last frame.
+/// Response body that returns its connection to the pool after the last frame.
 pub struct PooledBody {
-    /// The body as hyper reads it.
+    /// Body as hyper reads it.
     inner: Incoming,
-    /// Where the connection goes after the end.
-    home: Option<(Arc<Pool>, SocketAddr, Connection)>,
+    /// Connection with its pool and address; `None` after the end of the body or an error.
+    pooled: Option<(Arc<Pool>, SocketAddr, Connection)>,
 }
 
 impl Client {
@@ -77,10 +77,12 @@
         }
     }
 
-    /// Sends a request on an idle connection, or on a new one if none is left.
+    /// Sends a request on an idle connection, or on a new one if there is none or the idle one closed before
+    /// the request was sent.
     ///
     /// # Errors
-    /// [`HttpError::is_not_sent`] tells whether the peer can have seen any of the request.
+    /// [`HttpError::is_not_sent`] returns whether it is certain that the peer received no part of the
+    /// request.
     pub async fn send(
         &self,
         addr: SocketAddr,
@@ -111,15 +113,15 @@
             .map_err(|(e, _)| Report::new(e))
     }
 
-    /// Drops the idle connections to an address.
+    /// Closes the idle connections to an address.
     pub fn close_idle(&self, addr: SocketAddr) {
         self.pool.close_idle(addr);
     }
 
-    /// Sends a JSON request and reads a JSON response with status 200.
+    /// Sends a JSON request and reads a JSON response with a success status.
     ///
     /// # Errors
-    /// As [`Client::send`], [`HttpError::Status`] for another status, [`HttpError::Malformed`] for other content.
+    /// As [`Client::send`] and [`read_json`], and [`HttpError::Status`] for any other status.
     pub async fn call<T: DeserializeOwned>(
         &self,
         addr: SocketAddr,
@@ -146,13 +148,13 @@
                 .await
                 .change_context(HttpError::Connect)
         };
-        let late = async {
+        let timed_out = async {
             smol::Timer::after(self.cfg.connect_timeout).await;
             Err(Report::new(HttpError::Connect))
         };
-        let (sender, conn) = open.or(late).await?;
+        let (sender, conn) = open.or(timed_out).await?;
         let driver = self.ex.spawn(async move {
-            // Errors reach the exchange through its sender or body.
+            // The exchange receives errors of the connection through its sender or body.
             let _ = conn.await;
         });
         Ok(Connection {
@@ -176,13 +178,13 @@
                     None => (HttpError::Interrupted, None),
                 })
         };
-        let late = async {
+        let timed_out = async {
             smol::Timer::after(self.cfg.response_timeout).await;
             Err((HttpError::TimedOut, None))
         };
-        let (parts, inner) = answer.or(late).await?.into_parts();
-        let home = Some((self.pool.clone(), addr, conn));
-        Ok(Response::from_parts(parts, PooledBody { inner, home }))
+        let (parts, inner) = answer.or(timed_out).await?.into_parts();
+        let pooled = Some((self.pool.clone(), addr, conn));
+        Ok(Response::from_parts(parts, PooledBody { inner, pooled }))
     }
 }
 
@@ -198,13 +200,13 @@
         let polled = Pin::new(&mut this.inner).poll_frame(cx);
         match polled {
             Poll::Ready(None) => {
-                if let Some((pool, addr, conn)) = this.home.take() {
+                if let Some((pool, addr, conn)) = this.pooled.take() {
                     pool.put(addr, conn);
                 }
                 Poll::Ready(None)
             }
             Poll::Ready(Some(Err(_))) => {
-                this.home = None;
+                this.pooled = None;
                 Poll::Ready(Some(Err(HttpError::Interrupted)))
             }
             Poll::Ready(Some(Ok(frame))) => Poll::Ready(Some(Ok(frame))),
--- a/components/http/src/lib.rs
+++ b/components/http/src/lib.rs
@@ -1,4 +1,5 @@
-//! HTTP/1.1 over `hyper` on `smol`: a pooled client and a server that joins its connections.
+//! HTTP/1.1 over `hyper` on `smol`: a client with a connection pool and a server that joins its connections
+//! on shutdown.
 
 mod body;
 mod client;
@@ -19,5 +20,5 @@
 pub use sse::{SseEvent, SseReader};
 pub use tls::{TlsError, load_acceptor, load_certificates, load_key};
 
-/// An executor that one thread runs; clones share it.
+/// Executor that one thread runs; clones share it.
 pub type Executor = std::sync::Arc<smol::Executor<'static>>;
--- a/components/http/src/pool.rs
+++ b/components/http/src/pool.rs
@@ -11,25 +11,25 @@
 pub(crate) struct Connection {
     /// Handle that sends requests on the connection.
     pub sender: SendRequest<Body>,
-    /// Reads and writes the socket; ends with the connection.
+    /// Task that reads and writes the socket; it ends with the connection.
     pub _driver: smol::Task<()>,
 }
 
-/// A connection that waits for its next request.
+/// An idle connection.
 struct Idle {
     /// The connection.
     conn: Connection,
-    /// When the last exchange ended.
+    /// Time at which the last exchange ended.
     since: Instant,
 }
 
-/// Idle connections by address, newest last.
+/// Pool of idle connections.
 pub(crate) struct Pool {
-    /// The connections.
+    /// Idle connections by address; the most recently used is last.
     idle: Mutex<HashMap<SocketAddr, Vec<Idle>>>,
-    /// Most idle connections kept for one address.
+    /// Maximum number of idle connections per address.
     per_address: usize,
-    /// Age at which an idle connection is not used again.
+    /// Idle time after which a connection is not reused.
     max_idle: Duration,
 }
 
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Takes the connection that was used last and is still open.
+    /// Removes and returns the most recently used connection that is still open and has not exceeded the
+    /// maximum idle time.
     pub(crate) fn take(&self, addr: SocketAddr) -> Option<Connection> {
         let mut idle = self.lock();
         let list = idle.get_mut(&addr)?;
@@ -54,7 +55,8 @@
         None
     }
 
-    /// Keeps a connection for the next request to the address.
+    /// Stores a connection for the next request to the address, and drops the least recently used one if the
+    /// pool is full.
     pub(crate) fn put(&self, addr: SocketAddr, conn: Connection) {
         if conn.sender.is_closed() || self.per_address == 0 {
             return;
@@ -70,7 +72,7 @@
         });
     }
 
-    /// Drops every idle connection to an address.
+    /// Closes all idle connections to an address.
     pub(crate) fn close_idle(&self, addr: SocketAddr) {
         self.lock().remove(&addr);
     }
--- a/components/http/src/server.rs
+++ b/components/http/src/server.rs
@@ -17,30 +17,30 @@
 
 use crate::{Body, Executor, HttpError};
 
-/// The answer of a [`Handler`].
+/// Future of a [`Handler`] that resolves to the response.
 pub type HandlerFuture = Pin<Box<dyn Future<Output = Response<Body>> + Send>>;
 
-/// Answers one request.
+/// Function that answers a request.
 pub type Handler = Arc<dyn Fn(Request<Incoming>) -> HandlerFuture + Send + Sync>;
 
-/// Resolves once its sender is dropped; clones wait for the same moment.
+/// Signal that resolves once its sender is dropped; clones share the signal.
 pub type Shutdown = async_channel::Receiver<()>;
 
-/// A pair whose second half resolves when the first is dropped.
+/// Returns a sender and the [`Shutdown`] signal that resolves when the sender is dropped.
 pub fn shutdown_channel() -> (async_channel::Sender<()>, Shutdown) {
     async_channel::bounded(1)
 }
 
-/// Limits of a [`Server`] on what callers send.
+/// Limits of a [`Server`] on requests, and its encryption.
 #[derive(Clone)]
 pub struct ServerConfig {
-    /// Longest time for the head of a request.
+    /// Maximum time to receive the head of a request; also the maximum time of a TLS handshake.
     pub header_timeout: Duration,
-    /// Most headers in a request.
+    /// Maximum number of headers in a request.
     pub max_headers: usize,
-    /// Largest head of a request, in bytes.
+    /// Maximum size of the head of a request, in bytes.
     pub max_head_bytes: usize,
-    /// Encrypts the connections; plain TCP without it.
+    /// Acceptor that encrypts the connections; `None` serves plain TCP.
     pub tls: Option<TlsAcceptor>,
 }
 
@@ -55,25 +55,25 @@
     }
 }
 
-/// A listening HTTP server.
+/// An HTTP server with its listening socket.
 pub struct Server {
-    /// Accepts the connections.
+    /// Listening socket.
     listener: TcpListener,
-    /// Limits on what callers send.
+    /// Limits on requests, and encryption.
     cfg: ServerConfig,
 }
 
 impl Server {
-    /// Listens on an address; port 0 takes a free one.
+    /// Listens on an address; port 0 selects a free port.
     ///
     /// # Errors
-    /// [`HttpError::Listen`] if the address can not be had.
+    /// [`HttpError::Listen`] if the address can not be bound.
     pub fn bind(addr: SocketAddr, cfg: ServerConfig) -> Result<Self, Report<HttpError>> {
         let listener = std::net::TcpListener::bind(addr).change_context(HttpError::Listen)?;
         Self::from_std(listener, cfg)
     }
 
-    /// Uses a listener that is open already, for example one shared by several threads.
+    /// Builds a server from an open listener, for example a listener that several threads share.
     ///
     /// # Errors
     /// [`HttpError::Listen`] if the listener can not be made non-blocking.
@@ -84,27 +84,29 @@
         Ok(Self { listener, cfg })
     }
 
-    /// The address that the server listens on.
+    /// Returns the address that the server listens on.
     ///
     /// # Errors
-    /// [`HttpError::Listen`] if the socket is gone.
+    /// [`HttpError::Listen`] if the socket's address can not be read.
     pub fn local_addr(&self) -> Result<SocketAddr, Report<HttpError>> {
         self.listener.local_addr().change_context(HttpError::Listen)
     }
 
-    /// Serves until `stop` resolves, then finishes every open request and joins the connections.
+    /// Serves connections until `stop` resolves, then finishes all requests in progress and joins the
+    /// connections.
     pub async fn run(self, ex: Executor, handler: Handler, stop: Shutdown) {
-        let (_never, abort) = shutdown_channel();
+        let (_abort_sender, abort) = shutdown_channel();
         self.run_or_abort(ex, handler, stop, abort).await;
     }
 
-    /// As [`Server::run`]; once `abort` resolves, closes every connection as it is and joins them.
+    /// Serves as [`Server::run`] does, but once `abort` resolves, closes and joins all connections without
+    /// finishing their requests.
     pub async fn run_or_abort(self, ex: Executor, handler: Handler, stop: Shutdown, abort: Shutdown) {
         let mut tasks = Vec::new();
         let accept = async {
             while let Some(stream) = self.accept(&stop).await {
                 let _ = stream.set_nodelay(true);
-                let serve = serve_accepted(stream, self.cfg.clone(), handler.clone(), stop.clone());
+                let serve = serve_stream(stream, self.cfg.clone(), handler.clone(), stop.clone());
                 tasks.push(ex.spawn(serve));
                 tasks.retain(|t| !t.is_finished());
             }
@@ -122,18 +124,18 @@
         }
     }
 
-    /// The next connection, or `None` once `stop` resolves.
+    /// Accepts the next connection; returns `None` once `stop` resolves.
     pub async fn accept(&self, stop: &Shutdown) -> Option<TcpStream> {
         let accept = async {
             loop {
                 match self.listener.accept().await {
                     Ok((stream, _)) => return Some(stream),
-                    // Out of file descriptors: wait for connections to end.
+                    // Accepting fails when file descriptors run out; the pause lets connections end.
                     Err(_) => smol::Timer::after(Duration::from_millis(10)).await,
                 };
             }
         };
-        accept.or(stopped(stop)).await
+        accept.or(none_when_stopped(stop)).await
     }
 }
 
@@ -141,25 +143,26 @@
     let _ = signal.recv().await;
 }
 
-async fn stopped<T>(stop: &Shutdown) -> Option<T> {
+async fn none_when_stopped<T>(stop: &Shutdown) -> Option<T> {
     let _ = stop.recv().await;
     None
 }
 
-async fn serve_accepted(stream: TcpStream, cfg: ServerConfig, handler: Handler, stop: Shutdown) {
+async fn serve_stream(stream: TcpStream, cfg: ServerConfig, handler: Handler, stop: Shutdown) {
     let Some(acceptor) = cfg.tls.clone() else {
         return serve_connection(stream, cfg, handler, stop).await;
     };
-    let late = async {
+    let timed_out = async {
         smol::Timer::after(cfg.header_timeout).await;
         Err(std::io::ErrorKind::TimedOut.into())
     };
-    if let Ok(stream) = acceptor.accept(stream).or(late).await {
+    if let Ok(stream) = acceptor.accept(stream).or(timed_out).await {
         serve_connection(stream, cfg, handler, stop).await;
     }
 }
 
-/// Serves one connection until its peer closes it, or until `stop` resolves and its open request is finished.
+/// Serves a connection until the peer closes it, or until `stop` resolves and the request in progress is
+/// finished.
 pub async fn serve_connection(
     stream: impl AsyncRead + AsyncWrite + Unpin,
     cfg: ServerConfig,
--- a/components/http/src/sse.rs
+++ b/components/http/src/sse.rs
@@ -4,10 +4,10 @@
 
 use crate::HttpError;
 
-/// Longest line accepted in an event stream, in bytes.
+/// Maximum length of a line in an event stream, in bytes.
 const MAX_LINE_BYTES: usize = 1 << 20;
 
-/// One server-sent event.
+/// A server-sent event.
 ///
 /// ```
 /// let event = http_io::SseEvent { id: Some("7".into()), data: "hello".into() };
@@ -17,12 +17,12 @@
 pub struct SseEvent {
     /// The `id` field.
     pub id: Option<String>,
-    /// The `data` field; must hold no line break.
+    /// The `data` field; must not contain a line break.
     pub data: String,
 }
 
 impl SseEvent {
-    /// The event as it goes over the wire.
+    /// Returns the event in wire format.
     pub fn to_bytes(&self) -> Bytes {
         let id_len = self.id.as_ref().map_or(0, |id| id.len() + 5);
         let mut buf = Vec::with_capacity(id_len + self.data.len() + 8);
@@ -40,14 +40,14 @@
 
 /// Reads server-sent events from a body.
 pub struct SseReader<B> {
-    /// The body.
+    /// Body that contains the events.
     body: B,
-    /// Bytes read and not yet parsed.
+    /// Bytes that were read and not yet parsed.
     buf: BytesMut,
 }
 
 impl<B: hyper::body::Body<Data = Bytes> + Unpin> SseReader<B> {
-    /// Starts reading at the head of a body.
+    /// Builds a reader for a body that has not been read from.
     pub fn new(body: B) -> Self {
         Self {
             body,
@@ -55,32 +55,33 @@
         }
     }
 
-    /// The next event, or `None` at the end of the body.
+    /// Reads the next event; returns `None` at the end of the body.
     ///
     /// # Errors
-    /// [`HttpError::Interrupted`] when the body breaks off, [`HttpError::TooLarge`] for an endless line.
+    /// [`HttpError::Interrupted`] if the body ends within an event or fails, [`HttpError::TooLarge`] if a
+    /// line exceeds the maximum length.
     pub async fn next(&mut self) -> Result<Option<SseEvent>, Report<HttpError>> {
         let mut event = SseEvent::default();
-        let mut seen = false;
+        let mut has_fields = false;
         loop {
-            let Some(line) = self.line().await? else {
-                return if seen {
+            let Some(line) = self.read_line().await? else {
+                return if has_fields {
                     Err(Report::new(HttpError::Interrupted))
                 } else {
                     Ok(None)
                 };
             };
             if line.is_empty() {
-                if seen {
+                if has_fields {
                     return Ok(Some(event));
                 }
                 continue;
             }
-            seen |= read_field(&mut event, &line);
+            has_fields |= store_field(&mut event, &line);
         }
     }
 
-    async fn line(&mut self) -> Result<Option<Bytes>, Report<HttpError>> {
+    async fn read_line(&mut self) -> Result<Option<Bytes>, Report<HttpError>> {
         let mut searched = 0;
         loop {
             if let Some(end) = self.buf[searched..].iter().position(|b| *b == b'\n') {
@@ -111,8 +112,8 @@
     }
 }
 
-/// Stores a field of an event; false for comments and fields that are not used.
-fn read_field(event: &mut SseEvent, line: &[u8]) -> bool {
+/// Stores a field of an event; returns false for comments and unsupported fields.
+fn store_field(event: &mut SseEvent, line: &[u8]) -> bool {
     let text = String::from_utf8_lossy(line);
     let Some((name, value)) = text.split_once(':') else {
         return false;
--- a/components/http/src/tls.rs
+++ b/components/http/src/tls.rs
@@ -8,27 +8,27 @@
 use rustls_pki_types::pem::PemObject;
 use rustls_pki_types::{CertificateDer, PrivateKeyDer};
 
-/// Why keys are not usable.
+/// Reason why a certificate or key can not be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum TlsError {
-    /// The file holds no PEM object of the kind that is needed.
+    /// The file can not be read or has no PEM object of the required kind.
     #[error("can not read a {what} from {file}")]
     Unreadable {
-        /// `certificate` or `private key`.
+        /// Required kind: `certificate` or `private key`.
         what: &'static str,
         /// Path of the file.
         file: String,
     },
-    /// The certificate and the key do not belong together.
+    /// The certificate and the private key do not match or are not supported.
     #[error("the certificate and the private key can not be used together")]
     Mismatch,
 }
 
-/// Certificates from a PEM file, in the file's order.
+/// Loads the certificates from a PEM file, in the file's order.
 ///
 /// # Errors
-/// [`TlsError::Unreadable`] if there is none.
+/// [`TlsError::Unreadable`] if the file can not be read or has none.
 pub fn load_certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, Report<TlsError>> {
     let unreadable = || TlsError::Unreadable {
         what: "certificate",
@@ -44,10 +44,10 @@
     Ok(certificates)
 }
 
-/// A private key from a PEM file.
+/// Loads a private key from a PEM file.
 ///
 /// # Errors
-/// [`TlsError::Unreadable`] if there is none.
+/// [`TlsError::Unreadable`] if the file can not be read or has none.
 pub fn load_key(path: &Path) -> Result<PrivateKeyDer<'static>, Report<TlsError>> {
     let unreadable = || TlsError::Unreadable {
         what: "private key",
@@ -56,7 +56,7 @@
     PrivateKeyDer::from_pem_file(path).change_context_lazy(unreadable)
 }
 
-/// Accepts TLS connections with the certificate and key of two PEM files.
+/// Builds a TLS acceptor from a PEM file with certificates and a PEM file with a private key.
 ///
 /// # Errors
 /// [`TlsError`] if the files can not be used.
--- a/components/http/tests/events.rs
+++ b/components/http/tests/events.rs
@@ -1,4 +1,4 @@
-//! Server-sent events, however the network splits them.
+//! Server-sent events that arrive in chunks of any size.
 
 use bytes::Bytes;
 use http_io::{HttpError, SseEvent, SseReader, channel_body};
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_broken_event_is_an_error_and_comments_are_not_events() {
+fn an_incomplete_event_is_an_error_and_comments_are_not_events() {
     let half = read_all(vec![Bytes::from_static(b"data: half")]);
     assert_eq!(half, Err(HttpError::Interrupted));
     assert_eq!(
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn an_endless_line_is_cut_off() {
+fn a_line_over_the_limit_is_an_error() {
     let chunk = Bytes::from(vec![b'a'; 700_000]);
     assert!(matches!(
         read_all(vec![chunk.clone(), chunk]),
--- a/components/http/tests/exchange.rs
+++ b/components/http/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Client and server against each other, and the client against peers that break off.
+//! Exchanges between client and server, and between the client and peers that close connections early.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,18 +29,18 @@
     smol::block_on(ex.run(test(ex.clone())));
 }
 
-/// A peer that reads a request on each connection, then closes it without an answer.
-async fn close_after_request(listener: TcpListener, seen: Arc<AtomicUsize>) {
+/// Runs a peer that reads a request on each connection and then closes the connection without an answer.
+async fn close_after_request(listener: TcpListener, request_count: Arc<AtomicUsize>) {
     loop {
         let (mut stream, _) = listener.accept().await.unwrap();
         let mut buf = [0; 512];
         let _ = stream.read(&mut buf).await;
-        seen.fetch_add(1, Ordering::SeqCst);
+        request_count.fetch_add(1, Ordering::SeqCst);
     }
 }
 
 #[test]
-fn a_refused_connection_sent_nothing() {
+fn a_refused_connection_is_reported_as_unsent() {
     run(async |ex| {
         let listener = TcpListener::bind(loopback()).await.unwrap();
         let addr = listener.local_addr().unwrap();
@@ -52,17 +52,17 @@
 }
 
 #[test]
-fn a_connection_that_breaks_after_the_request_is_not_called_unsent() {
+fn a_connection_that_breaks_after_the_request_is_not_reported_as_unsent() {
     run(async |ex| {
         let listener = TcpListener::bind(loopback()).await.unwrap();
         let addr = listener.local_addr().unwrap();
-        let seen = Arc::new(AtomicUsize::new(0));
-        let peer = ex.spawn(close_after_request(listener, seen.clone()));
+        let request_count = Arc::new(AtomicUsize::new(0));
+        let peer = ex.spawn(close_after_request(listener, request_count.clone()));
         let client = Client::new(ex.clone(), ClientConfig::default());
         let error = client.send(addr, get("/")).await.err().unwrap();
         assert_eq!(*error.current_context(), HttpError::Interrupted);
         assert_eq!(
-            seen.load(Ordering::SeqCst),
+            request_count.load(Ordering::SeqCst),
             1,
             "the request must not be sent twice"
         );
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn open_requests_are_finished_before_the_server_ends() {
+fn requests_in_progress_are_finished_before_the_server_ends() {
     run(async |ex| {
         let server = Server::bind(loopback(), ServerConfig::default()).unwrap();
         let addr = server.local_addr().unwrap();
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn limits_hold() {
+fn the_server_enforces_body_and_header_limits() {
     run(async |ex| {
         let server = Server::bind(
             loopback(),
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn a_client_that_keeps_no_idle_connections_closes_them() {
+fn a_client_without_idle_connections_closes_each_after_use() {
     run(async |ex| {
         let handler: Handler = Arc::new(|_| Box::pin(async { Response::new(full_body("ok")) }));
         let server = Server::bind(loopback(), ServerConfig::default()).unwrap();
