--- a/components/entry/src/traffic/drafts.rs
+++ b/components/entry/src/traffic/drafts.rs
@@ -284,7 +284,7 @@
             };
             let mut stream = opened.map_err(|e| *e.current_context())?;
             let first = stream.next().await.map_err(|e| *e.current_context())?;
-            first.map(|first| (stream, first)).ok_or(TargetError::CutShort)
+            first.map(|first| (stream, first)).ok_or(TargetError::Incomplete)
         };
         let timeout = async {
             smol::Timer::after(limit).await;
--- a/components/entry/src/traffic/relay.rs
+++ b/components/entry/src/traffic/relay.rs
@@ -165,7 +165,7 @@
         let limit = Duration::from_millis(self.draft.cx.shared.settings.timeouts.progress_ms);
         let read = async {
             let next = self.stream.next().await.map_err(|e| *e.current_context())?;
-            next.ok_or(TargetError::CutShort)
+            next.ok_or(TargetError::Incomplete)
         };
         let timeout = async {
             smol::Timer::after(limit).await;
@@ -339,7 +339,7 @@
     draft.in_flight = Some(InFlightGuard::new(&cx.shared, chosen.key, 0));
     let result = draft.send_to_target(&chosen, false).await;
     let (stream, first) = result.map_err(|failure| Failure {
-        kind: if failure == TargetError::VersionGone {
+        kind: if failure == TargetError::VersionNotLoaded {
             ProblemKind::VersionGone
         } else {
             ProblemKind::AnswerCut
--- a/components/entry/src/traffic/watch.rs
+++ b/components/entry/src/traffic/watch.rs
@@ -356,7 +356,7 @@
             return Ok(());
         };
         let engine = HttpEngine::new(self.cx.engines.clone(), chosen.address);
-        let is_broken = matches!(failure, TargetError::Interrupted | TargetError::CutShort);
+        let is_broken = matches!(failure, TargetError::Interrupted | TargetError::Incomplete);
         let crash = match is_broken {
             true => watch.find_crash(&engine, &chosen.target).await,
             false => None,
--- a/components/standins/tests/clients.rs
+++ b/components/standins/tests/clients.rs
@@ -127,7 +127,7 @@
         let mut req = draft(1, "hello", 2);
         req.weight_version = 2;
         let refused = engine.draft(req.clone()).await.err().unwrap();
-        assert_eq!(*refused.current_context(), TargetError::VersionGone);
+        assert_eq!(*refused.current_context(), TargetError::VersionNotLoaded);
 
         let kind = OrderKind::LoadVersion {
             model: "draft".into(),
--- a/components/standins/tests/engine_faults.rs
+++ b/components/standins/tests/engine_faults.rs
@@ -40,7 +40,7 @@
         cross_answers,
         ..EngineFaults::default()
     };
-    end_of_draft(faults, Err(TargetError::Crossed));
+    end_of_draft(faults, Err(TargetError::WrongRequest));
 }
 
 #[test]
@@ -50,7 +50,7 @@
         cut_short,
         ..EngineFaults::default()
     };
-    end_of_draft(faults, Err(TargetError::CutShort));
+    end_of_draft(faults, Err(TargetError::Incomplete));
 }
 
 #[test]
@@ -60,7 +60,7 @@
         wrong_count,
         ..EngineFaults::default()
     };
-    end_of_draft(faults, Err(TargetError::CutShort));
+    end_of_draft(faults, Err(TargetError::Incomplete));
 }
 
 #[test]
@@ -70,7 +70,7 @@
         duplicate_events,
         ..EngineFaults::default()
     };
-    end_of_draft(faults, Err(TargetError::CutShort));
+    end_of_draft(faults, Err(TargetError::Incomplete));
 }
 
 #[test]
--- a/components/standins/tests/service_store_faults.rs
+++ b/components/standins/tests/service_store_faults.rs
@@ -107,7 +107,7 @@
         cross_answers,
         ..ServiceFaults::default()
     };
-    failing_call(faults, TargetError::Crossed, 1, ran());
+    failing_call(faults, TargetError::WrongRequest, 1, ran());
 }
 
 #[test]
--- a/components/targets/src/engine_http.rs
+++ b/components/targets/src/engine_http.rs
@@ -70,7 +70,7 @@
         let res = sent.map_err(into_target)?;
         match res.status().as_u16() {
             200 => Ok(Box::new(HttpDraft::new(&req, SseReader::new(res.into_body())))),
-            STATUS_VERSION_GONE => Err(Report::new(TargetError::VersionGone)),
+            STATUS_VERSION_GONE => Err(Report::new(TargetError::VersionNotLoaded)),
             status @ 400..500 | status @ 503 => Err(Report::new(TargetError::Refused(status))),
             _ => Err(Report::new(TargetError::Interrupted)),
         }
@@ -144,17 +144,17 @@
 
     fn check(&mut self, event: &DraftEvent) -> Result<(), TargetError> {
         if (event.request_id, event.attempt) != self.identity {
-            return Err(TargetError::Crossed);
+            return Err(TargetError::WrongRequest);
         }
         if let Some(chunk) = &event.chunk {
             if chunk.index != self.next_index {
-                return Err(TargetError::CutShort);
+                return Err(TargetError::Incomplete);
             }
             self.next_index += 1;
         }
         if let Some(end) = &event.end {
             if end.tokens != self.next_index {
-                return Err(TargetError::CutShort);
+                return Err(TargetError::Incomplete);
             }
             self.ended = true;
         }
@@ -173,7 +173,7 @@
             Ok(None)
         };
         match self.reader.next().or(late).await {
-            Ok(Some(_)) => Err(Report::new(TargetError::Crossed)),
+            Ok(Some(_)) => Err(Report::new(TargetError::WrongRequest)),
             Ok(None) | Err(_) => Ok(()),
         }
     }
@@ -191,11 +191,11 @@
                 return if self.ended {
                     Ok(None)
                 } else {
-                    Err(Report::new(TargetError::CutShort))
+                    Err(Report::new(TargetError::Incomplete))
                 };
             };
             if self.ended {
-                return Err(Report::new(TargetError::Crossed));
+                return Err(Report::new(TargetError::WrongRequest));
             }
             let event: DraftEvent = serde_json::from_str(&sse.data).change_context(TargetError::Malformed)?;
             self.check(&event).map_err(Report::new)?;
--- a/components/targets/src/error.rs
+++ b/components/targets/src/error.rs
@@ -18,13 +18,13 @@
     TimedOut,
     /// The answer belongs to another request or attempt.
     #[error("the answer belongs to another request")]
-    Crossed,
+    WrongRequest,
     /// The answer ended without its end marker or with a wrong count.
     #[error("the answer is not whole")]
-    CutShort,
+    Incomplete,
     /// The target no longer has the weight version of the answer.
     #[error("the weight version is not loaded")]
-    VersionGone,
+    VersionNotLoaded,
     /// The answer can not be read.
     #[error("the answer can not be read")]
     Malformed,
@@ -33,7 +33,7 @@
 impl TargetError {
     /// Whether it is certain that the target did not run the request.
     pub fn is_not_run(self) -> bool {
-        matches!(self, Self::NotSent | Self::Refused(_) | Self::VersionGone)
+        matches!(self, Self::NotSent | Self::Refused(_) | Self::VersionNotLoaded)
     }
 }
 
--- a/components/targets/src/service_http.rs
+++ b/components/targets/src/service_http.rs
@@ -102,7 +102,7 @@
     if id == format!("{:032x}", req.request_id) && attempt == req.attempt.to_string() {
         return Ok(());
     }
-    Err(Report::new(TargetError::Crossed))
+    Err(Report::new(TargetError::WrongRequest))
 }
 
 fn text_header(headers: &HeaderMap, name: &str) -> String {
