--- a/components/targets/src/engine.rs
+++ b/components/targets/src/engine.rs
@@ -6,162 +6,163 @@
 
 use crate::{BoxFuture, Order, OrderReply, PieceId, TargetError, TransferRequest};
 
-/// A prompt sent to an engine, or a draft to resume.
+/// A request to an engine to start a draft, or to resume one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct DraftRequest {
-    /// Identifier that every part of the answer repeats.
+    /// Identifier of the request; every event of the answer repeats it.
     pub request_id: RequestId,
-    /// Number of the try; every part of the answer repeats it.
+    /// Number of the attempt; every event of the answer repeats it.
     pub attempt: Attempt,
     /// Workspace that the prompt belongs to.
     pub workspace: WorkspaceId,
     /// Model to run.
     pub model: ModelId,
-    /// Weight version that must run.
+    /// Weight version that must compute the answer.
     pub weight_version: WeightVersion,
-    /// The prompt.
+    /// Text of the prompt.
     pub prompt: String,
-    /// Tokens in the prompt, as the entry host counts them.
+    /// Tokens in the prompt, counted by the entry host.
     pub prompt_tokens: u32,
-    /// Names of the prompt's full pieces, first to last.
+    /// Identifiers of the prompt's full pieces, first to last.
     pub pieces: Vec<PieceId>,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Lower runs first.
+    /// Priority; the engine runs lower values first.
     pub priority: u8,
-    /// Tokens of the answer that the caller already has.
+    /// Tokens of the answer that the caller already has; generation continues after them.
     #[serde(default)]
     pub offset: u32,
-    /// Text of those tokens, for an engine that did not compute them; empty when resuming at the engine that did.
+    /// Text of these tokens, for an engine that did not compute them. Empty when the engine that computed
+    /// them resumes the draft.
     #[serde(default)]
     pub continued: String,
-    /// Only resume a draft that the engine still holds; never start one.
+    /// Whether the engine may only resume a draft that it still holds, and must not start one.
     #[serde(default)]
     pub resume_only: bool,
 }
 
-/// First event of a draft.
+/// Content of the first event of a draft.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct DraftStart {
-    /// Weight version that runs.
+    /// Weight version that computes the answer.
     pub weight_version: WeightVersion,
-    /// Tokens of the prompt that came from cache.
+    /// Tokens of the prompt that were read from cache.
     pub cached_tokens: u32,
 }
 
-/// One generated token.
+/// A generated token.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct DraftChunk {
-    /// Position in the answer, from 0.
+    /// Position in the answer, starting at 0.
     pub index: u32,
     /// Text of the token.
     pub text: String,
 }
 
-/// Last event of a whole draft.
+/// Content of the last event of a complete draft.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct DraftEnd {
-    /// Tokens in the whole answer, with those before the offset.
+    /// Tokens in the whole answer, including those before the offset.
     pub tokens: u32,
 }
 
-/// An event of a draft's stream, with the identity that it must repeat.
+/// An event of a draft's stream. Repeats the request id and the attempt of the [`DraftRequest`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct DraftEvent {
     /// Identifier of the request.
     pub request_id: RequestId,
-    /// Number of the try.
+    /// Number of the attempt.
     pub attempt: Attempt,
-    /// Set in the first event.
+    /// Start of the draft; set in the first event.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub start: Option<DraftStart>,
-    /// Set in every event with a token.
+    /// A token; set in every event that carries one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub chunk: Option<DraftChunk>,
-    /// Set in the last event.
+    /// End of the draft; set in the last event.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub end: Option<DraftEnd>,
 }
 
-/// An engine's report of its load; it lags.
+/// An engine's report of its load. The values lag by `age`.
 #[derive(Debug, Clone, PartialEq, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Prompt tokens that wait for processing.
+    /// Prompt tokens that wait for prefill.
     pub queued_prompt_tokens: u64,
-    /// Drafts that generate.
+    /// Drafts that generate tokens.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests that wait in the engine's queue.
     pub waiting: u32,
-    /// Prompt tokens processed a second.
+    /// Prompt tokens that the engine processes in a second.
     pub prefill_tokens_per_second: f64,
-    /// Most drafts that generate at once.
+    /// Maximum number of drafts that generate at the same time.
     pub slots: u32,
-    /// Cache pieces that fit in memory.
+    /// Cache pieces that fit in the engine's memory.
     pub cache_capacity_pieces: u32,
-    /// Models and weight versions loaded.
+    /// Models and weight versions that are loaded.
     pub versions: Vec<(ModelId, WeightVersion)>,
-    /// Time since the figures were taken.
+    /// Time since the values were measured.
     pub age: Duration,
-    /// Run of the engine's process.
+    /// Incarnation of the engine's process.
     pub incarnation: u64,
-    /// Name of the role, `prefill`, `decode` or `both`.
+    /// Role of the engine: `prefill`, `decode` or `both`.
     #[serde(default)]
     pub role: String,
 }
 
-/// A change of an engine's cache.
+/// A change in an engine's cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CacheEvent {
     /// A piece became usable.
     Stored(PieceId),
-    /// A piece was dropped.
+    /// A piece was evicted.
     Evicted(PieceId),
 }
 
-/// Cache events after a sequence number; a gap shows in `first`.
+/// Cache events after a sequence number. If `first` is above the requested number, events are missing.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct CacheEvents {
-    /// Run of the engine's process; a new one starts with an empty cache.
+    /// Incarnation of the engine's process; a new process starts with an empty cache.
     pub incarnation: u64,
-    /// Sequence number of the first event here.
+    /// Sequence number of the first event in `events`.
     pub first: u64,
-    /// The events, in order; event `i` has the number `first + i`.
+    /// The events in order; event `i` has the sequence number `first + i`.
     pub events: Vec<CacheEvent>,
 }
 
-/// Everything in an engine's cache at one moment.
+/// The whole content of an engine's cache at a point in time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct CacheSnapshot {
-    /// Run of the engine's process.
+    /// Incarnation of the engine's process.
     pub incarnation: u64,
-    /// Number of the first event that is not included.
+    /// Sequence number of the first event that the snapshot does not include.
     pub next: u64,
-    /// The pieces.
+    /// The cached pieces.
     pub pieces: Vec<PieceId>,
 }
 
-/// The stream of a running draft. Dropping it cancels the draft's connection, not the draft.
+/// The event stream of a running draft. Dropping it closes the connection; the draft keeps running.
 pub trait DraftStream: Send {
-    /// The next event; `None` only after the end event.
+    /// Returns the next event, or `None` after the end event.
     fn next(&mut self) -> BoxFuture<'_, Result<Option<DraftEvent>, Report<TargetError>>>;
 }
 
-/// A model engine.
+/// Interface of a model engine.
 pub trait Engine: Send + Sync {
-    /// Starts a draft, or resumes it at its offset.
+    /// Starts a draft, or resumes it at the request's offset.
     fn draft(&self, req: DraftRequest) -> BoxFuture<'_, Result<Box<dyn DraftStream>, Report<TargetError>>>;
 
-    /// As [`Engine::draft`], always on a new connection.
+    /// Does the same as [`Engine::draft`], always on a new connection.
     fn draft_on_new_connection(
         &self,
         req: DraftRequest,
@@ -170,21 +171,21 @@
     /// Stops a draft.
     fn cancel(&self, request_id: RequestId) -> BoxFuture<'_, Result<(), Report<TargetError>>>;
 
-    /// The latest load report.
+    /// Returns the latest load report.
     fn load(&self) -> BoxFuture<'_, Result<LoadReport, Report<TargetError>>>;
 
-    /// Cache events from a sequence number on.
+    /// Returns the cache events from a sequence number on.
     fn cache_events(&self, from: u64) -> BoxFuture<'_, Result<CacheEvents, Report<TargetError>>>;
 
-    /// The whole content of the cache.
+    /// Returns the whole content of the cache.
     fn cache_snapshot(&self) -> BoxFuture<'_, Result<CacheSnapshot, Report<TargetError>>>;
 
-    /// Makes the engine read a piece from a store. The engine checks the manifest.
+    /// Makes the engine read a piece from a store. The engine checks the piece against its manifest.
     fn import(&self, req: TransferRequest) -> BoxFuture<'_, Result<(), Report<TargetError>>>;
 
-    /// Makes the engine write a piece to a store, content first, manifest last.
+    /// Makes the engine write a piece to a store: first the content, then the manifest.
     fn export(&self, req: TransferRequest) -> BoxFuture<'_, Result<(), Report<TargetError>>>;
 
-    /// Gives an order.
+    /// Sends an order and returns the engine's reply.
     fn order(&self, order: Order) -> BoxFuture<'_, Result<OrderReply, Report<TargetError>>>;
 }
--- a/components/targets/src/engine_http.rs
+++ b/components/targets/src/engine_http.rs
@@ -14,26 +14,26 @@
     OrderReply, TargetError, TransferRequest,
 };
 
-/// Status with which an engine says that it does not have the weight version.
-const STATUS_VERSION_GONE: u16 = 410;
+/// HTTP status of an engine that does not have the weight version.
+const STATUS_VERSION_NOT_LOADED: u16 = 410;
 
-/// Longest wait for the end of a body after the end event.
-const END_OF_BODY: Duration = Duration::from_millis(5);
+/// Maximum wait for the end of the body after the end event.
+const END_OF_BODY_TIMEOUT: Duration = Duration::from_millis(5);
 
-/// A model engine over HTTP.
+/// HTTP client of a model engine.
 ///
 /// Paths: `POST /v1/drafts` (server-sent events), `DELETE /v1/drafts/{id}`, `GET /v1/load`,
 /// `GET /v1/cache/events/{from}`, `GET /v1/cache`, `POST /v1/cache/{import,export}`, `POST /v1/orders`.
 #[derive(Clone)]
 pub struct HttpEngine {
-    /// Sends the requests.
+    /// HTTP client that sends the requests.
     client: Client,
     /// Address of the engine.
     addr: SocketAddr,
 }
 
 impl HttpEngine {
-    /// The engine at `addr`.
+    /// Creates a client of the engine at `addr`.
     pub fn new(client: Client, addr: SocketAddr) -> Self {
         Self { client, addr }
     }
@@ -47,13 +47,13 @@
         self.client
             .call(self.addr, method, path, body)
             .await
-            .map_err(into_target)
+            .map_err(into_target_error)
     }
 
     async fn start(
         &self,
         req: DraftRequest,
-        fresh: bool,
+        on_new_connection: bool,
     ) -> Result<Box<dyn DraftStream>, Report<TargetError>> {
         let http = Request::builder()
             .method(Method::POST)
@@ -62,15 +62,15 @@
             .header("content-type", "application/json")
             .body(json_body(&req))
             .change_context(TargetError::Malformed)?;
-        let sent = if fresh {
+        let sent = if on_new_connection {
             self.client.send_on_new_connection(self.addr, http).await
         } else {
             self.client.send(self.addr, http).await
         };
-        let res = sent.map_err(into_target)?;
+        let res = sent.map_err(into_target_error)?;
         match res.status().as_u16() {
             200 => Ok(Box::new(HttpDraft::new(&req, SseReader::new(res.into_body())))),
-            STATUS_VERSION_GONE => Err(Report::new(TargetError::VersionNotLoaded)),
+            STATUS_VERSION_NOT_LOADED => Err(Report::new(TargetError::VersionNotLoaded)),
             status @ 400..500 | status @ 503 => Err(Report::new(TargetError::Refused(status))),
             _ => Err(Report::new(TargetError::Interrupted)),
         }
@@ -120,11 +120,11 @@
     }
 }
 
-/// Checks that a stream answers the request it was opened for, in order and whole.
+/// Stream of a draft. Checks that each event belongs to the request and that no token is missing or repeated.
 struct HttpDraft<B> {
-    /// The events.
+    /// Reads the server-sent events.
     reader: SseReader<B>,
-    /// Identity that every event must repeat.
+    /// Request id and attempt that every event must repeat.
     identity: (RequestId, u32),
     /// Index that the next token must have.
     next_index: u32,
@@ -166,13 +166,14 @@
 where
     B: hyper::body::Body<Data = bytes::Bytes> + Unpin,
 {
-    /// Reads the end of the body, which gives the connection back to the pool; a slow one is not waited for.
+    /// Reads the end of the body, which returns the connection to the pool. Waits at most
+    /// [`END_OF_BODY_TIMEOUT`].
     async fn finish(&mut self) -> Result<(), Report<TargetError>> {
-        let late = async {
-            smol::Timer::after(END_OF_BODY).await;
+        let timeout = async {
+            smol::Timer::after(END_OF_BODY_TIMEOUT).await;
             Ok(None)
         };
-        match self.reader.next().or(late).await {
+        match self.reader.next().or(timeout).await {
             Ok(Some(_)) => Err(Report::new(TargetError::WrongRequest)),
             Ok(None) | Err(_) => Ok(()),
         }
@@ -186,7 +187,7 @@
 {
     fn next(&mut self) -> BoxFuture<'_, Result<Option<DraftEvent>, Report<TargetError>>> {
         Box::pin(async move {
-            let read = self.reader.next().await.map_err(into_target)?;
+            let read = self.reader.next().await.map_err(into_target_error)?;
             let Some(sse) = read else {
                 return if self.ended {
                     Ok(None)
@@ -207,7 +208,8 @@
     }
 }
 
-pub(crate) fn into_target(report: Report<HttpError>) -> Report<TargetError> {
+/// Converts an HTTP failure to a failure of the target.
+pub(crate) fn into_target_error(report: Report<HttpError>) -> Report<TargetError> {
     let kind = TargetError::from(*report.current_context());
     report.change_context(kind)
 }
--- a/components/targets/src/lib.rs
+++ b/components/targets/src/lib.rs
@@ -1,4 +1,4 @@
-//! Targets as the system sees them: model engines, plain services and store hosts.
+//! Interfaces of the targets (model engines, plain services and store hosts) and their HTTP clients.
 
 mod engine;
 mod engine_http;
--- a/components/targets/src/order.rs
+++ b/components/targets/src/order.rs
@@ -1,38 +1,39 @@
 use serde::{Deserialize, Serialize};
 use utils::{Epoch, ModelId, WeightVersion};
 
-/// A change of state that an owner asks of an engine. Orders are idempotent: they name the wanted state.
+/// A change of state that a lease holder requests from an engine. Orders are idempotent: they carry the
+/// desired state.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Order {
-    /// Fencing number of the lease that allows the order.
+    /// Fencing token of the lease under which the order is sent.
     pub epoch: Epoch,
-    /// What is wanted.
+    /// The requested change.
     pub kind: OrderKind,
 }
 
-/// What an order asks for.
+/// The change that an order requests.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderKind {
-    /// Serve this version of a model's weights.
+    /// Load a version of a model's weights and serve it.
     LoadVersion {
         /// The model.
         model: ModelId,
         /// The version.
         version: WeightVersion,
     },
-    /// Serve this adapter on top of a model.
+    /// Load an adapter of a model and serve it.
     LoadAdapter {
         /// The model.
         model: ModelId,
         /// Name of the adapter.
         adapter: String,
     },
-    /// Take this role.
+    /// Switch to a role.
     SetRole {
-        /// Name of the role, `prefill`, `decode` or `both`.
+        /// The role: `prefill`, `decode` or `both`.
         role: String,
     },
 }
@@ -41,8 +42,8 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct OrderReply {
-    /// False if the engine knows a higher fencing number.
+    /// Whether the engine accepted the order; false if it has seen a higher fencing token.
     pub accepted: bool,
-    /// Highest fencing number that the engine has seen.
+    /// Highest fencing token that the engine has seen.
     pub epoch: Epoch,
 }
--- a/components/targets/src/service.rs
+++ b/components/targets/src/service.rs
@@ -8,63 +8,63 @@
 /// A call to a plain service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallRequest {
-    /// Identifier that the answer repeats.
+    /// Identifier of the request; the answer repeats it.
     pub request_id: RequestId,
-    /// Number of the try; the answer repeats it.
+    /// Number of the attempt; the answer repeats it.
     pub attempt: Attempt,
     /// Workspace of the caller.
     pub workspace: WorkspaceId,
-    /// The service.
+    /// Service to call.
     pub service: ServiceId,
     /// HTTP method.
     pub method: String,
-    /// Path after the service's name, without a leading slash.
+    /// Path after the name of the service, without a leading slash.
     pub path: String,
     /// Content type of the body.
     pub content_type: String,
-    /// Key under which the service can be asked for the outcome.
+    /// Idempotency key, with which [`Service::outcome`] finds the outcome later.
     pub idempotency_key: Option<String>,
-    /// Body.
+    /// Body of the message.
     pub body: Bytes,
 }
 
-/// A service's whole answer.
+/// The whole answer of a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallReply {
     /// HTTP status.
     pub status: u16,
     /// Content type of the body.
     pub content_type: String,
-    /// Body.
+    /// Body of the message.
     pub body: Bytes,
 }
 
-/// What a service says about a key.
+/// Outcome of a call that a service reports for an idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "state")]
 pub enum CallOutcome {
-    /// The call ran; its answer is repeated.
+    /// The call has run; holds its answer.
     Ran {
         /// HTTP status.
         status: u16,
         /// Content type of the body.
         content_type: String,
-        /// Body as text.
+        /// Body of the answer, as text.
         body: String,
     },
-    /// The call runs now.
+    /// The call is still running.
     Running,
-    /// The service has not seen the key.
+    /// The service has not received a call with this key.
     Unseen,
 }
 
-/// A plain service.
+/// Interface of a plain service.
 pub trait Service: Send + Sync {
-    /// Makes a call. Never repeated by this client once it was sent.
+    /// Makes a call. The client does not retry it once it has been sent.
     fn call(&self, req: CallRequest) -> BoxFuture<'_, Result<CallReply, Report<TargetError>>>;
 
-    /// Asks for the outcome of a key; `None` if the service does not offer this.
+    /// Returns the outcome of the call with a key, or `None` if the service does not offer this query.
     fn outcome(
         &self,
         workspace: WorkspaceId,
--- a/components/targets/src/store.rs
+++ b/components/targets/src/store.rs
@@ -4,39 +4,40 @@
 
 use crate::{BoxFuture, Manifest, PieceId, TargetError};
 
-/// What a store holds, in pages.
+/// Changes of a store's content since a given change number.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Catalogue {
-    /// Run of the store's process.
+    /// Incarnation of the store's process.
     pub incarnation: u64,
-    /// Number of the first change that is not included.
+    /// Number of the first change that is not included; the next query starts here.
     pub next: u64,
-    /// Pieces with a manifest, stored since the number asked for.
+    /// Pieces with a manifest that were stored since the requested number.
     pub stored: Vec<PieceId>,
-    /// Pieces dropped since the number asked for.
+    /// Pieces that were dropped since the requested number.
     pub dropped: Vec<PieceId>,
-    /// Bytes that are still free.
+    /// Free space, in bytes.
     pub free_bytes: u64,
 }
 
-/// A store host for kept cache. A piece counts as stored once its manifest is.
+/// Interface of a store host, which holds pieces of KV cache outside the engines. A piece counts as stored
+/// once its manifest is stored.
 pub trait Store: Send + Sync {
-    /// Stores the content of a piece; without a manifest it can not be read.
+    /// Stores the content of a piece. It can not be read before the manifest is stored.
     fn put_content(&self, piece: PieceId, content: Bytes) -> BoxFuture<'_, Result<(), Report<TargetError>>>;
 
-    /// Stores the manifest; the store checks it against the content.
+    /// Stores the manifest of a piece. The store checks it against the content.
     fn put_manifest(&self, manifest: Manifest) -> BoxFuture<'_, Result<(), Report<TargetError>>>;
 
-    /// Reads a manifest; `None` if there is none.
+    /// Reads the manifest of a piece; returns `None` if there is none.
     fn manifest(&self, piece: PieceId) -> BoxFuture<'_, Result<Option<Manifest>, Report<TargetError>>>;
 
-    /// Reads the content; `None` if the piece is not whole.
+    /// Reads the content of a piece; returns `None` if the piece has no content or no manifest.
     fn content(&self, piece: PieceId) -> BoxFuture<'_, Result<Option<Bytes>, Report<TargetError>>>;
 
-    /// Drops a piece, manifest first.
+    /// Deletes a piece: first the manifest, then the content.
     fn drop_piece(&self, piece: PieceId) -> BoxFuture<'_, Result<(), Report<TargetError>>>;
 
-    /// Changes since a number; 0 asks for everything.
+    /// Returns the changes since a change number; 0 requests the whole content.
     fn catalogue(&self, from: u64) -> BoxFuture<'_, Result<Catalogue, Report<TargetError>>>;
 }
--- a/components/targets/src/store_http.rs
+++ b/components/targets/src/store_http.rs
@@ -5,31 +5,31 @@
 use http_io::{Body, Client, HttpError, empty_body, full_body, json_body, read_json, read_limited};
 use hyper::{Method, Request};
 
-use crate::engine_http::into_target;
+use crate::engine_http::into_target_error;
 use crate::{BoxFuture, Catalogue, Manifest, PieceId, Store, TargetError};
 
-/// Largest piece, in bytes.
+/// Maximum size of a piece, in bytes.
 const MAX_PIECE_BYTES: usize = 1 << 30;
 
-/// A store host over HTTP.
+/// HTTP client of a store host.
 ///
 /// Paths: `PUT` and `GET /v1/pieces/{id}`, `PUT` and `GET /v1/manifests/{id}`, `DELETE /v1/pieces/{id}`,
 /// `GET /v1/catalogue/{from}`.
 #[derive(Clone)]
 pub struct HttpStore {
-    /// Sends the requests.
+    /// HTTP client that sends the requests.
     client: Client,
     /// Address of the store host.
     addr: SocketAddr,
 }
 
 impl HttpStore {
-    /// The store host at `addr`.
+    /// Creates a client of the store host at `addr`.
     pub fn new(client: Client, addr: SocketAddr) -> Self {
         Self { client, addr }
     }
 
-    /// Sends a request; `None` for status 404.
+    /// Sends a request and returns the body of the answer, or `None` for status 404.
     async fn send(
         &self,
         method: Method,
@@ -43,7 +43,11 @@
             .header("host", self.addr.to_string())
             .body(body)
             .change_context(TargetError::Malformed)?;
-        let res = self.client.send(self.addr, req).await.map_err(into_target)?;
+        let res = self
+            .client
+            .send(self.addr, req)
+            .await
+            .map_err(into_target_error)?;
         match res.status().as_u16() {
             200..300 => Ok(Some(res.into_body())),
             404 => Ok(None),
@@ -80,7 +84,7 @@
                 Some(body) => read_json(body, MAX_PIECE_BYTES)
                     .await
                     .map(Some)
-                    .map_err(into_target),
+                    .map_err(into_target_error),
                 None => Ok(None),
             }
         })
@@ -95,7 +99,7 @@
                 Some(body) => read_limited(body, MAX_PIECE_BYTES)
                     .await
                     .map(Some)
-                    .map_err(into_target),
+                    .map_err(into_target_error),
                 None => Ok(None),
             }
         })
@@ -115,7 +119,7 @@
             self.client
                 .call(self.addr, Method::GET, &path, None::<&()>)
                 .await
-                .map_err(into_target)
+                .map_err(into_target_error)
         })
     }
 }
