--- a/components/utils/src/clock.rs
+++ b/components/utils/src/clock.rs
@@ -3,15 +3,15 @@
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// Time since an arbitrary start that is fixed for the life of a process.
+/// Time since an arbitrary start, which stays the same for the lifetime of the process.
 pub type Monotonic = Duration;
 
-/// Source of time. State machines take `now` as an argument; only daemons hold a clock.
+/// A source of time. State machines receive `now` as an argument; only daemons hold a clock.
 pub trait Clock: Send + Sync {
-    /// Monotonic time; it keeps counting while the process is paused.
+    /// Returns the monotonic time, which also advances while the process is paused.
     fn now(&self) -> Monotonic;
 
-    /// Time of day, for what is compared between hosts.
+    /// Returns the wall-clock time, for values that are compared between hosts.
     fn wall(&self) -> SystemTime;
 }
 
@@ -25,12 +25,12 @@
 /// ```
 #[derive(Debug, Clone)]
 pub struct SystemClock {
-    /// Start of the monotonic time.
+    /// Time since boot at which the monotonic time is 0.
     start: Duration,
 }
 
 impl SystemClock {
-    /// Starts counting from now.
+    /// Creates a clock whose monotonic time starts at 0 now.
     pub fn new() -> Self {
         Self { start: boot_time() }
     }
@@ -52,13 +52,13 @@
     }
 }
 
-/// Time since the machine was started, suspension included.
+/// Returns the time since the machine booted, including the time it was suspended.
 fn boot_time() -> Duration {
     let now = clock_gettime(ClockId::Boottime);
     Duration::new(now.tv_sec.unsigned_abs(), now.tv_nsec.unsigned_abs() as u32)
 }
 
-/// A clock that tests and benches move by hand.
+/// A clock for tests and benches that advances only on request.
 ///
 /// ```
 /// use std::time::Duration;
@@ -70,12 +70,12 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct ManualClock {
-    /// Nanoseconds since the start.
+    /// Monotonic time, in nanoseconds.
     nanos: AtomicU64,
 }
 
 impl ManualClock {
-    /// Moves the time forward.
+    /// Advances the time by `step`.
     pub fn advance(&self, step: Duration) {
         self.nanos.fetch_add(step.as_nanos() as u64, Ordering::SeqCst);
     }
--- a/components/utils/src/digest.rs
+++ b/components/utils/src/digest.rs
@@ -3,25 +3,25 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A BLAKE3 hash of 32 bytes, written as hexadecimal text.
+/// A BLAKE3 hash of 32 bytes. Displayed, parsed and serialized as hexadecimal text.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct Digest([u8; 32]);
 
-/// The text is not 64 hexadecimal digits.
+/// Error for a text that is not 64 hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 #[error("a digest is 64 hexadecimal digits")]
 pub struct ParseDigestError;
 
 impl Digest {
-    /// The raw bytes.
+    /// Returns the raw bytes.
     pub fn as_bytes(&self) -> &[u8; 32] {
         &self.0
     }
 
-    /// The first 8 bytes as a number, for hash tables and ranks.
+    /// Returns the first 8 bytes as a little-endian number, for hash tables and rendezvous scores.
     ///
     /// ```
     /// assert_ne!(utils::digest(b"sack").first_u64(), utils::digest(b"bale").first_u64());
--- a/components/utils/src/lib.rs
+++ b/components/utils/src/lib.rs
@@ -1,4 +1,4 @@
-//! Identifiers, clocks and hashing that every crate uses.
+//! Identifiers, clocks, hashing and rendezvous hashing shared by all crates.
 
 mod clock;
 mod digest;
--- a/components/utils/src/rendezvous.rs
+++ b/components/utils/src/rendezvous.rs
@@ -1,6 +1,7 @@
 use crate::Digest;
 
-/// Score of a candidate for a key; the highest score owns the key (rendezvous hashing).
+/// Returns the rendezvous hashing score of a candidate for a key. The candidate with the highest score owns
+/// the key.
 pub fn rendezvous_score(key: &[u8], candidate: &str) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&(key.len() as u64).to_le_bytes());
@@ -9,7 +10,7 @@
     Digest::from(*hasher.finalize().as_bytes()).first_u64()
 }
 
-/// The candidates in the order in which they own the key, first owner first.
+/// Returns the candidates in the order in which they own the key, from the highest score to the lowest.
 ///
 /// ```
 /// let hosts = ["entry-1", "entry-2", "entry-3"];
