--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -1,4 +1,5 @@
-//! Prints the slopes of docs/CAPACITY.md: `cargo bench --bench capacity` (`-- --json` for JSON).
+//! Prints the measurements of docs/CAPACITY.md: `cargo bench --bench capacity`. `-- --json` prints JSON, and
+//! `-- --test` runs with small sizes.
 
 use std::alloc::System;
 use std::time::Duration;
@@ -18,8 +19,8 @@
         Scale::Full
     };
     let meter = Meter {
-        allocated: &allocated,
-        processor: &processor,
+        allocated_bytes: &allocated_bytes,
+        cpu_time: &cpu_time,
     };
     let report = run(scale, &meter);
     if args.iter().any(|a| a == "--json") {
@@ -29,11 +30,13 @@
     }
 }
 
-fn allocated() -> u64 {
+/// Returns the bytes that are currently allocated.
+fn allocated_bytes() -> u64 {
     let stats = ALLOCATOR.stats();
     (stats.bytes_allocated - stats.bytes_deallocated) as u64
 }
 
-fn processor() -> Duration {
+/// Returns the processor time that this thread has used.
+fn cpu_time() -> Duration {
     ThreadTime::now().as_duration()
 }
--- a/components/capacity/src/lib.rs
+++ b/components/capacity/src/lib.rs
@@ -1,4 +1,5 @@
-//! Slopes of state, time and traffic over size, and what they come to at the size to build towards.
+//! Measures how memory, time and traffic of the control functions grow with size, and extrapolates them to
+//! the planned size.
 
 mod fit;
 mod measure_directory;
--- a/components/capacity/src/measure_membership.rs
+++ b/components/capacity/src/measure_membership.rs
@@ -2,25 +2,26 @@
 
 use membership::MeasureOptions;
 
-use crate::meter::ProcessorClock;
+use crate::meter::CpuClock;
 use crate::size::{HOSTS, Scale, TARGETS};
 use crate::{Budget, Meter, Row, Sample};
 
-/// Virtual time of a run.
-const RUN: Duration = Duration::from_secs(30);
+/// Virtual duration of a run.
+const RUN_DURATION: Duration = Duration::from_secs(30);
 /// Seed of the runs.
 const SEED: u64 = 1;
 
-/// Traffic, processor time and speed of news between entry hosts.
+/// Measures the traffic and processor time of membership, and how long an update takes to reach all entry
+/// hosts.
 pub(crate) fn measure(scale: Scale, meter: &Meter<'_>) -> Vec<Row> {
-    let clock = ProcessorClock(meter.processor);
+    let clock = CpuClock(meter.cpu_time);
     let (mut traffic, mut processor, mut leaving) = (Vec::new(), Vec::new(), Vec::new());
     for &hosts in scale.hosts() {
         let targets = hosts * TARGETS as usize / HOSTS as usize;
         let options = MeasureOptions {
             hosts,
             targets,
-            duration: RUN,
+            duration: RUN_DURATION,
             seed: SEED,
         };
         let measured = membership::measure(options, &clock);
--- a/components/capacity/src/measure_notes.rs
+++ b/components/capacity/src/measure_notes.rs
@@ -6,20 +6,20 @@
 use crate::size::{NOTES_PER_SECOND, Scale, WORKSPACES};
 use crate::{Budget, Meter, Row, Sample};
 
-/// Memory of what is declared, and time of a note.
+/// Measures the memory of the declared state and the processor time of a release note.
 pub(crate) fn measure(scale: Scale, meter: &Meter<'_>) -> Vec<Row> {
     let (mut memory, mut processor) = (Vec::new(), Vec::new());
     for workspaces in scale.workspaces() {
         let size = workspaces as f64;
-        let (declared, bytes) = meter.bytes_of(|| declare(workspaces));
-        let (keys, key_bytes) = meter.bytes_of(|| index_keys(&declared));
+        let (declared, bytes) = meter.allocated_by(|| build_declared(workspaces));
+        let (keys, key_bytes) = meter.allocated_by(|| index_keys(&declared));
         memory.push(Sample {
             size,
             value: bytes + key_bytes,
         });
-        let note = change_one(&declared);
-        let seconds = meter.seconds_of(scale.rounds(), || apply(&declared, &note).is_ok());
-        let indexing = meter.seconds_of(scale.rounds().min(20), || index_keys(&declared));
+        let note = one_workspace_change(&declared);
+        let seconds = meter.mean_seconds(scale.iterations(), || apply(&declared, &note).is_ok());
+        let indexing = meter.mean_seconds(scale.iterations().min(20), || index_keys(&declared));
         processor.push(Sample {
             size,
             value: (seconds + indexing) * NOTES_PER_SECOND,
@@ -42,7 +42,8 @@
     ]
 }
 
-fn declare(workspaces: usize) -> Declared {
+/// Builds a declared state with a number of workspaces, each with one key.
+fn build_declared(workspaces: usize) -> Declared {
     let mut declared = Declared {
         version: 1,
         ..Declared::default()
@@ -60,6 +61,7 @@
     declared
 }
 
+/// Builds the index of workspaces by the digests of their keys.
 fn index_keys(declared: &Declared) -> HashMap<Digest, WorkspaceId> {
     let pairs = declared.workspaces.iter();
     pairs
@@ -67,7 +69,8 @@
         .collect()
 }
 
-fn change_one(declared: &Declared) -> Note {
+/// Returns a note that changes one workspace.
+fn one_workspace_change(declared: &Declared) -> Note {
     let text = format!(
         "id: next\nbase: {}\nchange:\n  workspaces:\n    workspace-1:\n      priority: 3\n",
         declared.version
--- a/components/capacity/src/measure_view.rs
+++ b/components/capacity/src/measure_view.rs
@@ -10,30 +10,30 @@
 use crate::size::{HOSTS, REQUESTS_PER_SECOND, Scale, TARGETS};
 use crate::{Budget, Meter, Row, Sample};
 
-/// Regions over which the targets are spread.
+/// Regions over which the targets are distributed.
 const REGIONS: usize = 4;
-/// Models over which the targets are spread.
+/// Models over which the targets are distributed.
 const MODELS: usize = 6;
 /// Pieces in a prompt.
-const PIECES: u32 = 16;
-/// Targets that hold the front of the prompt.
+const PROMPT_PIECES: u32 = 16;
+/// Targets that hold the first half of the prompt.
 const HOLDERS: usize = 10;
 
-/// Memory and time of a view, and time of a decision on it.
+/// Measures the memory and the build time of a placement view, and the time of a decision with it.
 pub(crate) fn measure(scale: Scale, meter: &Meter<'_>) -> Vec<Row> {
     let (mut memory, mut publishing, mut decisions) = (Vec::new(), Vec::new(), Vec::new());
     for targets in scale.targets() {
         let size = targets as f64;
-        let (view, bytes) = meter.bytes_of(|| build(targets));
+        let (view, bytes) = meter.allocated_by(|| build(targets));
         memory.push(Sample { size, value: bytes });
-        let seconds = meter.seconds_of(scale.rounds(), || {
+        let seconds = meter.mean_seconds(scale.iterations(), || {
             let mut next = view.clone();
             next.build_index(Duration::ZERO);
             next
         });
         publishing.push(Sample { size, value: seconds });
         let placer = CacheAware::new(Arc::new(FixedCopies(copies(&view))));
-        let seconds = meter.seconds_of(scale.rounds() * 10, || decide(&placer, &view));
+        let seconds = meter.mean_seconds(scale.iterations() * 10, || decide(&placer, &view));
         decisions.push(Sample {
             size,
             value: seconds * REQUESTS_PER_SECOND / HOSTS,
@@ -58,6 +58,7 @@
     ]
 }
 
+/// Builds a view with a number of live targets.
 fn build(targets: usize) -> PlacementView {
     let address: SocketAddr = ([127, 0, 0, 1], 1).into();
     let mut view = PlacementView::default();
@@ -86,8 +87,9 @@
     format!("model-{}", n % MODELS).into()
 }
 
+/// Makes a placement decision. Returns whether a target was chosen.
 fn decide(placer: &CacheAware, view: &PlacementView) -> bool {
-    let pieces: Vec<Digest> = (0..PIECES).map(|n| Digest::from([n as u8; 32])).collect();
+    let pieces: Vec<Digest> = (0..PROMPT_PIECES).map(|n| Digest::from([n as u8; 32])).collect();
     let (workspace, model, region): (WorkspaceId, ModelId, RegionId) =
         ("w".into(), model(0), "region-0".into());
     let req = PlacementRequest {
@@ -110,7 +112,7 @@
         .is_some()
 }
 
-/// The same copies for every prompt.
+/// An index that returns the same copies for every prompt.
 struct FixedCopies(Copies);
 
 impl CacheIndex for FixedCopies {
@@ -119,11 +121,11 @@
     }
 }
 
-/// Copies of half a prompt on some targets of the view.
+/// Returns copies of the first half of a prompt at [`HOLDERS`] targets of the view.
 fn copies(view: &PlacementView) -> Copies {
     let mut copies = Copies::default();
     for key in view.targets.keys().take(HOLDERS) {
-        (0..PIECES as u16 / 2).for_each(|piece| copies.add_target(key, piece, true));
+        (0..PROMPT_PIECES as u16 / 2).for_each(|piece| copies.add_target(key, piece, true));
     }
     copies
 }
--- a/components/capacity/src/meter.rs
+++ b/components/capacity/src/meter.rs
@@ -2,37 +2,37 @@
 
 use utils::{Clock, Monotonic};
 
-/// Reads memory and processor time.
+/// Functions that read the allocated memory and the processor time.
 pub struct Meter<'a> {
-    /// Bytes that are allocated now.
-    pub allocated: &'a dyn Fn() -> u64,
-    /// Processor time that this thread has used.
-    pub processor: &'a (dyn Fn() -> Duration + Sync),
+    /// Function that returns the bytes that are currently allocated.
+    pub allocated_bytes: &'a dyn Fn() -> u64,
+    /// Function that returns the processor time that this thread has used.
+    pub cpu_time: &'a (dyn Fn() -> Duration + Sync),
 }
 
 impl Meter<'_> {
-    /// Builds a value and says how many bytes it keeps allocated.
-    pub(crate) fn bytes_of<T>(&self, build: impl FnOnce() -> T) -> (T, f64) {
-        let before = (self.allocated)();
+    /// Builds a value. Returns it with the number of bytes that it keeps allocated.
+    pub(crate) fn allocated_by<T>(&self, build: impl FnOnce() -> T) -> (T, f64) {
+        let before = (self.allocated_bytes)();
         let value = build();
-        let after = (self.allocated)();
+        let after = (self.allocated_bytes)();
         (value, after.saturating_sub(before) as f64)
     }
 
-    /// Mean processor time of an operation, in seconds.
-    pub(crate) fn seconds_of<T>(&self, rounds: u32, mut operation: impl FnMut() -> T) -> f64 {
-        let before = (self.processor)();
-        for _ in 0..rounds {
+    /// Returns the mean processor time of an operation, in seconds.
+    pub(crate) fn mean_seconds<T>(&self, iterations: u32, mut operation: impl FnMut() -> T) -> f64 {
+        let before = (self.cpu_time)();
+        for _ in 0..iterations {
             std::hint::black_box(operation());
         }
-        ((self.processor)() - before).as_secs_f64() / f64::from(rounds)
+        ((self.cpu_time)() - before).as_secs_f64() / f64::from(iterations)
     }
 }
 
-/// A clock of this thread's processor time.
-pub(crate) struct ProcessorClock<'a>(pub(crate) &'a (dyn Fn() -> Duration + Sync));
+/// A clock that counts the processor time of this thread.
+pub(crate) struct CpuClock<'a>(pub(crate) &'a (dyn Fn() -> Duration + Sync));
 
-impl Clock for ProcessorClock<'_> {
+impl Clock for CpuClock<'_> {
     fn now(&self) -> Monotonic {
         (self.0)()
     }
--- a/components/capacity/src/report.rs
+++ b/components/capacity/src/report.rs
@@ -7,56 +7,56 @@
 use crate::size::{CORE_BUDGET, MEMORY_BUDGET, Scale, TRAFFIC_BUDGET};
 use crate::{Fit, Meter, Sample, measure_directory, measure_membership, measure_notes, measure_view};
 
-/// What a row counts against.
+/// The limit that applies to a row.
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Budget {
-    /// Share of a core that control may take on a host.
+    /// Share of a core that control functions may use on a host.
     Core,
-    /// Memory that control may take on a host.
+    /// Memory that control functions may use on a host.
     Memory,
-    /// Bytes a second that control may send and receive on a host.
+    /// Bytes per second that control functions may send and receive on a host.
     Traffic,
-    /// A longest time, in seconds.
+    /// Maximum time, in seconds.
     Seconds(f64),
-    /// Nothing; the figure is for information.
+    /// No limit; the value is for information only.
     None,
 }
 
-/// One slope and what it comes to.
+/// Growth of a quantity with size, and its value at the planned size.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize)]
 pub struct Row {
-    /// Role of a host that carries it.
+    /// Role of the host that has the cost.
     pub role: &'static str,
-    /// What was measured, with its unit.
+    /// Measured quantity, with its unit.
     pub quantity: &'static str,
-    /// What the size counts.
+    /// Unit of the size, such as targets.
     pub of: &'static str,
-    /// Size to build towards.
+    /// Planned size.
     pub size: f64,
-    /// The measured samples.
+    /// Measured samples.
     pub samples: Vec<Sample>,
-    /// The line through them.
+    /// Line fitted to the samples.
     pub fit: Fit,
-    /// Value at the size to build towards.
+    /// Value of the line at the planned size.
     pub value: f64,
-    /// What it counts against.
+    /// Limit that applies to the value.
     pub budget: Budget,
-    /// What carries it.
+    /// Mechanism that keeps the value low.
     pub mechanism: &'static str,
 }
 
-/// All rows.
+/// Result of a measurement.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize)]
 pub struct Report {
-    /// The rows, by role.
+    /// Rows, grouped by role.
     pub rows: Vec<Row>,
 }
 
-/// Measures every slope.
+/// Measures all quantities.
 pub fn run(scale: Scale, meter: &Meter<'_>) -> Report {
     let mut rows = measure_view::measure(scale, meter);
     rows.extend(measure_directory::measure(scale, meter));
@@ -66,7 +66,7 @@
 }
 
 impl Budget {
-    /// The limit, or `None` for a figure that has none.
+    /// Returns the limit, or `None` if there is none.
     pub fn limit(self) -> Option<f64> {
         match self {
             Self::Core => Some(CORE_BUDGET),
@@ -87,7 +87,7 @@
         samples: Vec<Sample>,
     ) -> Self {
         let fit = Fit::new(&samples);
-        let value = fit.at(size);
+        let value = fit.value_at(size);
         Self {
             role,
             quantity,
@@ -111,7 +111,7 @@
         self
     }
 
-    /// Share of the budget that the row takes.
+    /// Returns the value as a share of the budget, or `None` if there is no limit.
     pub fn share(&self) -> Option<f64> {
         self.budget.limit().map(|limit| self.value / limit)
     }
@@ -135,15 +135,15 @@
             let measured = row
                 .samples
                 .iter()
-                .map(|s| format!("{}: {}", short(s.size), short(s.value)));
+                .map(|s| format!("{}: {}", format_short(s.size), format_short(s.value)));
             table.push_record([
                 row.role.to_owned(),
                 row.quantity.to_owned(),
-                format!("{} {}", short(row.size), row.of),
+                format!("{} {}", format_short(row.size), row.of),
                 measured.collect::<Vec<_>>().join("; "),
-                short(row.fit.slope),
+                format_short(row.fit.slope),
                 format!("{:.0}%", row.fit.worst_error * 100.0),
-                short(row.value),
+                format_short(row.value),
                 row.share()
                     .map_or_else(String::new, |share| format!("{:.1}%", share * 100.0)),
                 row.mechanism.to_owned(),
@@ -153,8 +153,8 @@
     }
 }
 
-/// A figure with three significant digits.
-fn short(value: f64) -> String {
+/// Formats a value with two or three decimals, and with the suffix k or M if it is large.
+fn format_short(value: f64) -> String {
     match value.abs() {
         0.0 => "0".to_owned(),
         v if v >= 1e6 => format!("{:.3}M", value / 1e6),
--- a/components/capacity/src/size.rs
+++ b/components/capacity/src/size.rs
@@ -1,39 +1,39 @@
-//! The size to build towards, and the sizes that are measured.
+//! The planned size and the sizes at which quantities are measured.
 
-/// Entry hosts.
+/// Number of entry hosts.
 pub(crate) const HOSTS: f64 = 340.0;
-/// Targets.
+/// Number of targets.
 pub(crate) const TARGETS: f64 = 3_000.0;
-/// Prompts that come back.
+/// Number of prompts that are reused.
 pub(crate) const PROMPTS: f64 = 1_900_000.0;
-/// Workspaces.
+/// Number of workspaces.
 pub(crate) const WORKSPACES: f64 = 17_000.0;
-/// Requests a second over all hosts.
+/// Requests per second over all hosts.
 pub(crate) const REQUESTS_PER_SECOND: f64 = 8_700.0;
-/// Release notes a second.
+/// Release notes per second: 10,000 per day.
 pub(crate) const NOTES_PER_SECOND: f64 = 10_000.0 / 86_400.0;
-/// Full pieces of a prompt, for the sum of all pieces.
+/// Number of full pieces per prompt, from which the number of all pieces is computed.
 pub(crate) const PIECES_PER_PROMPT: f64 = 16.0;
 /// Entry hosts that hold each shard of the directory.
 pub(crate) const SHARD_COPIES: f64 = 2.0;
-/// Share of a core that control may take on a host.
+/// Share of a core that control functions may use on a host.
 pub(crate) const CORE_BUDGET: f64 = 0.011;
-/// Memory that control may take on a host, in bytes.
+/// Memory that control functions may use on a host, in bytes.
 pub(crate) const MEMORY_BUDGET: f64 = 256.0 * 1024.0 * 1024.0;
-/// Bytes a second that control may send and receive on a host.
+/// Bytes per second that control functions may send and receive on a host.
 pub(crate) const TRAFFIC_BUDGET: f64 = 3_000.0;
 
-/// How large the measured sizes are.
+/// The set of sizes at which quantities are measured.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scale {
-    /// The sizes of the capacity page.
+    /// Sizes of docs/CAPACITY.md.
     Full,
-    /// Small sizes, to see that the measures work.
+    /// Small sizes that only check that the measurements run.
     Smoke,
 }
 
 impl Scale {
-    /// Pieces in a directory.
+    /// Returns the numbers of pieces in a directory.
     pub(crate) fn pieces(self) -> [usize; 3] {
         match self {
             Self::Full => [100_000, 1_000_000, 10_000_000],
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Targets in a view.
+    /// Returns the numbers of targets in a view.
     pub(crate) fn targets(self) -> [usize; 3] {
         match self {
             Self::Full => [30, 300, 3_000],
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Workspaces that are declared.
+    /// Returns the numbers of declared workspaces.
     pub(crate) fn workspaces(self) -> [usize; 3] {
         match self {
             Self::Full => [100, 1_700, 17_000],
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Entry hosts, each with its share of the targets.
+    /// Returns the numbers of entry hosts. The number of targets grows in proportion.
     pub(crate) fn hosts(self) -> &'static [usize] {
         match self {
             Self::Full => &[9, 30, 100, 340],
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Repetitions of a timed operation.
-    pub(crate) fn rounds(self) -> u32 {
+    /// Returns the number of iterations of a timed operation.
+    pub(crate) fn iterations(self) -> u32 {
         match self {
             Self::Full => 200,
             Self::Smoke => 3,
