--- a/components/entry/src/traffic/once.rs
+++ b/components/entry/src/traffic/once.rs
@@ -3,8 +3,8 @@
 use bytes::Bytes;
 use errors::ProblemKind;
 use ledger::{
-    AttemptId, Begun, CallEnd, CallKey, Ended, NewCall, Question, RecordedBody, RecordedReply, RefusedReason,
-    Verdict,
+    AttemptId, BeginResult, CallEnd, CallKey, EndResult, NewCall, OutcomeQuery, RecordedBody, RecordedReply,
+    RefusedReason, Verdict,
 };
 use targets::{CallOutcome, CallReply, CallRequest, HttpService, Service};
 
@@ -38,9 +38,9 @@
         body: body_digest(req),
     };
     let verdict = match cx.shared.ledger.begin(new).await {
-        Begun::Told(verdict) => verdict,
-        Begun::Ask(question) => query_target(cx, received, req, question).await,
-        Begun::Held(claim) => {
+        BeginResult::Decided(verdict) => verdict,
+        BeginResult::QueryTarget(question) => query_target(cx, received, req, question).await,
+        BeginResult::Held(claim) => {
             // If the check fails, the claim is dropped, which gives it up.
             check_serving(cx, &cx.shared.view.load())?;
             match claim.dispatch() {
@@ -48,8 +48,8 @@
                 Ok(sent) => {
                     let end = call_end(call_target(cx, req, target, timeout).await);
                     match sent.end(end).await {
-                        Ended::Told(verdict) => verdict,
-                        Ended::Ask(question) => query_target(cx, received, req, question).await,
+                        EndResult::Decided(verdict) => verdict,
+                        EndResult::QueryTarget(question) => query_target(cx, received, req, question).await,
                     }
                 }
             }
@@ -94,7 +94,12 @@
 }
 
 /// Queries the target of an earlier attempt for its recorded outcome.
-async fn query_target(cx: &Context, received: &Received, req: &CallRequest, question: Question) -> Verdict {
+async fn query_target(
+    cx: &Context,
+    received: &Received,
+    req: &CallRequest,
+    question: OutcomeQuery,
+) -> Verdict {
     let target = received.view.services.iter().find(|t| t.id == question.target);
     let reply = match target {
         Some(target) => {
@@ -103,7 +108,7 @@
         }
         None => None,
     };
-    question.answer(reply).await
+    question.resolve(reply).await
 }
 
 async fn recorded_outcome(service: &HttpService, req: &CallRequest) -> Option<RecordedReply> {
--- a/components/errors/src/event.rs
+++ b/components/errors/src/event.rs
@@ -217,18 +217,19 @@
         "route_answered",
         "A request on a declared route got its answer.",
     );
-    pub const ROUTE_TRY_FAILED: Event = event(
+    pub const ROUTE_ATTEMPT_FAILED: Event = event(
         5004,
         "route_try_failed",
         "A try at a target failed; says what is known about it.",
     );
-    pub const ROUTE_CUT: Event = event(5005, "route_cut", "A stream on a declared route ended early.");
+    pub const ROUTE_INTERRUPTED: Event =
+        event(5005, "route_cut", "A stream on a declared route ended early.");
     pub const ROUTE_RESUMED: Event = event(
         5006,
         "route_resumed",
         "A stream on a declared route went on at another target.",
     );
-    pub const CRASH_UNTOLD: Event = event(
+    pub const CRASH_NOT_SHARED: Event = event(
         5007,
         "crash_untold",
         "Too many requests were aboard crashes at once; other hosts are not told of this one.",
@@ -254,7 +255,7 @@
         "record_unusable",
         "A row of the platform's store can not be used.",
     );
-    pub const BELIEFS_CHANGED: Event = event(
+    pub const STATE_CHANGED: Event = event(
         5013,
         "beliefs_changed",
         "The host believes something new of declarations, targets or hosts.",
@@ -264,22 +265,22 @@
         "peer_read",
         "Another host told what changed while the store does not answer.",
     );
-    pub const KEPT_DROPPED: Event = event(
+    pub const KEPT_CACHE_DROPPED: Event = event(
         5015,
         "kept_dropped",
         "A store of kept cache was told to drop parts of replaced weights.",
     );
-    pub const HOST_SILENT: Event = event(
+    pub const HOST_UNREACHABLE: Event = event(
         5016,
         "host_silent",
         "Another host did not answer twice; its entry is removed unless it has registered again.",
     );
-    pub const KEPT_HEARD: Event = event(
+    pub const KEPT_STORE_AVAILABLE: Event = event(
         5017,
         "kept_heard",
         "A store of kept cache answers, or answers again; gives its run and place.",
     );
-    pub const KEPT_LOST: Event = event(
+    pub const KEPT_STORE_UNAVAILABLE: Event = event(
         5018,
         "kept_lost",
         "A store of kept cache does not answer; nothing is fetched from it or saved to it.",
@@ -338,21 +339,21 @@
     events::ROUTE_PLACED,
     events::ROUTE_REFUSED,
     events::ROUTE_ANSWERED,
-    events::ROUTE_TRY_FAILED,
-    events::ROUTE_CUT,
+    events::ROUTE_ATTEMPT_FAILED,
+    events::ROUTE_INTERRUPTED,
     events::ROUTE_RESUMED,
-    events::CRASH_UNTOLD,
+    events::CRASH_NOT_SHARED,
     events::METRICS_MISSING,
     events::LINES_LEFT_OUT,
     events::STORE_LOST,
     events::STORE_BACK,
     events::RECORD_UNUSABLE,
-    events::BELIEFS_CHANGED,
+    events::STATE_CHANGED,
     events::PEER_READ,
-    events::KEPT_DROPPED,
-    events::HOST_SILENT,
-    events::KEPT_HEARD,
-    events::KEPT_LOST,
+    events::KEPT_CACHE_DROPPED,
+    events::HOST_UNREACHABLE,
+    events::KEPT_STORE_AVAILABLE,
+    events::KEPT_STORE_UNAVAILABLE,
     events::LEASE_TAKEN,
     events::WEIGHTS_ORDERED,
 ];
--- a/components/gateway/src/control/mod.rs
+++ b/components/gateway/src/control/mod.rs
@@ -115,7 +115,7 @@
                 "error" => format!("{unusable:?}"));
         }
         let Some(view) = state.publish() else { return };
-        info!(self.traffic.log, "cached state changed"; events::BELIEFS_CHANGED,
+        info!(self.traffic.log, "cached state changed"; events::STATE_CHANGED,
             "declared" => view.declared.as_ref().map_or(0, |d| d.version),
             "targets" => view.targets.values().map(Vec::len).sum::<usize>(),
             "hosts" => view.hosts.len());
--- a/components/gateway/src/control/register.rs
+++ b/components/gateway/src/control/register.rs
@@ -86,7 +86,7 @@
         // Refused if the host has registered again in the meantime. If the store is down, another host tries
         // later.
         let is_removed = control.store.write(remove).await.is_ok();
-        info!(control.traffic.log, "host does not accept connections"; events::HOST_SILENT,
+        info!(control.traffic.log, "host does not accept connections"; events::HOST_UNREACHABLE,
             "silent" => &*host.name, "asked_to_remove" => is_removed);
     }
 }
--- a/components/gateway/src/control/stores.rs
+++ b/components/gateway/src/control/stores.rs
@@ -96,11 +96,12 @@
     let log = &control.traffic.log;
     match current {
         Some(run) if before != current => {
-            info!(log, "store of kept cache answers"; events::KEPT_HEARD, "store" => &*store.address,
+            info!(log, "store of kept cache answers"; events::KEPT_STORE_AVAILABLE, "store" => &*store.address,
                 "domain" => &*store.domain, "capacity_tokens" => store.capacity_tokens, "run" => run);
         }
         None if before.is_some() => {
-            warn!(log, "store of kept cache does not answer"; events::KEPT_LOST, "store" => &*store.address);
+            warn!(log, "store of kept cache does not answer"; events::KEPT_STORE_UNAVAILABLE,
+                "store" => &*store.address);
         }
         _ => {}
     }
@@ -164,7 +165,7 @@
         .await
         .is_ok()
     {
-        info!(control.traffic.log, "dropped kept cache of replaced weights"; events::KEPT_DROPPED,
+        info!(control.traffic.log, "dropped kept cache of replaced weights"; events::KEPT_CACHE_DROPPED,
             "store" => &*store.address, "parts" => outdated.len());
         control
             .traffic
--- a/components/gateway/src/telemetry.rs
+++ b/components/gateway/src/telemetry.rs
@@ -160,7 +160,7 @@
     pub(crate) fn sent(&self, id: &str, target: &str, result: SendResult) {
         self.sends.add(1, &[KeyValue::new("result", result.as_str())]);
         if result != SendResult::Answered {
-            warn!(self.log, "attempt failed"; events::ROUTE_TRY_FAILED, "request" => id,
+            warn!(self.log, "attempt failed"; events::ROUTE_ATTEMPT_FAILED, "request" => id,
                 "target" => target, "result" => result.as_str());
         }
     }
@@ -187,7 +187,7 @@
     /// Counts and logs a stream that ended early.
     pub(crate) fn cut(&self, id: &str, events: u64, reason: &'static str) {
         self.count(Outcome::MayHaveRun, reason);
-        warn!(self.log, "stream interrupted"; events::ROUTE_CUT, "request" => id, "events" => events,
+        warn!(self.log, "stream interrupted"; events::ROUTE_INTERRUPTED, "request" => id, "events" => events,
             "reason" => reason);
     }
 
@@ -199,7 +199,7 @@
 
     /// Logs that a crash is not reported to other hosts.
     pub(crate) fn crash_not_shared(&self, id: &str) {
-        warn!(self.log, "crash not reported to other hosts"; events::CRASH_UNTOLD, "request" => id);
+        warn!(self.log, "crash not reported to other hosts"; events::CRASH_NOT_SHARED, "request" => id);
     }
 
     fn count(&self, outcome: Outcome, reason: &'static str) {
--- a/components/gateway/src/traffic/exchange.rs
+++ b/components/gateway/src/traffic/exchange.rs
@@ -282,7 +282,7 @@
             Some(conn)
         }
         Err(e) => {
-            slog::debug!(cx.log, "failed to connect to the target"; errors::events::ROUTE_TRY_FAILED,
+            slog::debug!(cx.log, "failed to connect to the target"; errors::events::ROUTE_ATTEMPT_FAILED,
                 "request" => &call.id, "target" => &target.instance, "error" => %e);
             let now = cx.now();
             cx.with_slot(target, |slot| {
--- a/components/ledger/src/batch.rs
+++ b/components/ledger/src/batch.rs
@@ -3,7 +3,7 @@
 use error_stack::Report;
 use metadata::{Committed, PlatformError, Row, RowKey, RowVersion, Transaction};
 
-use crate::{ClaimRow, Found, RowWrite};
+use crate::{ClaimRow, RowWrite, StoredClaim};
 
 /// What became of one write.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -11,7 +11,7 @@
     /// It took effect.
     Applied(RowVersion),
     /// It had no effect because of this row, or because there is none.
-    Refused(Option<Found>),
+    Refused(Option<StoredClaim>),
     /// Its answer is lost; it may take effect, also later.
     Lost,
     /// It was certainly not sent.
@@ -112,7 +112,7 @@
 
     /// Takes the table service's answer. If some conditions did not hold, the other writes come back as a batch to send
     /// again.
-    pub fn settle(
+    pub fn handle_answer(
         self,
         answer: Result<Committed, Report<PlatformError>>,
         is_alive: impl Fn(&ClaimRow) -> bool,
@@ -159,7 +159,7 @@
 }
 
 fn refusal(row: Option<&Row>, is_alive: impl Fn(&ClaimRow) -> bool) -> WriteResult {
-    match row.map(|row| Found::parse(row, is_alive)) {
+    match row.map(|row| StoredClaim::parse(row, is_alive)) {
         None => WriteResult::Refused(None),
         Some(Ok(found)) => WriteResult::Refused(Some(found)),
         Some(Err(_)) => WriteResult::Malformed,
--- a/components/ledger/src/breaker.rs
+++ b/components/ledger/src/breaker.rs
@@ -10,10 +10,10 @@
 /// use ledger::Breaker;
 ///
 /// let mut breaker = Breaker::new(Duration::from_millis(200));
-/// breaker.fail(Duration::from_secs(1), 0.5);
+/// breaker.record_failure(Duration::from_secs(1), 0.5);
 /// assert!(!breaker.is_closed());
 /// assert_eq!(breaker.probe_at(), Some(Duration::from_millis(1_200)));
-/// breaker.succeed();
+/// breaker.record_success();
 /// assert!(breaker.is_closed());
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -44,13 +44,13 @@
     }
 
     /// A call or a probe failed. `jitter` from 0 to 1 spreads the probes of different hosts.
-    pub fn fail(&mut self, now: Monotonic, jitter: f64) {
+    pub fn record_failure(&mut self, now: Monotonic, jitter: f64) {
         let wait = self.interval.mul_f64(0.5 + jitter.clamp(0.0, 1.0));
         self.probe_at = Some(now + wait);
     }
 
     /// A call or a probe was answered.
-    pub fn succeed(&mut self) {
+    pub fn record_success(&mut self) {
         self.probe_at = None;
     }
 }
--- a/components/ledger/src/handle.rs
+++ b/components/ledger/src/handle.rs
@@ -10,8 +10,8 @@
 
 use crate::writer::{Op, Shared};
 use crate::{
-    AttemptId, CallKey, ClaimRow, ClaimState, Effect, Found, Input, Job, LedgerStats, RecordedReply,
-    RefusedReason, RowWrite, Step, Try, Verdict, WriteResult,
+    Attempt, AttemptId, CallKey, ClaimRow, ClaimState, Effect, Input, Job, LedgerStats, RecordedReply,
+    RefusedReason, RowWrite, Step, StoredClaim, Verdict, WriteResult,
 };
 
 /// A caller's try at a call that must not be repeated.
@@ -29,13 +29,13 @@
 
 /// What became of a try to claim a call.
 #[must_use]
-pub enum Begun {
+pub enum BeginResult {
     /// The call is claimed and may be sent.
     Held(HeldClaim),
     /// An earlier try may have run; its target is to be asked.
-    Ask(Question),
+    QueryTarget(OutcomeQuery),
     /// The caller is to be told.
-    Told(Verdict),
+    Decided(Verdict),
 }
 
 /// What became of a call that was sent.
@@ -51,11 +51,11 @@
 
 /// What follows from the end of a call.
 #[must_use]
-pub enum Ended {
+pub enum EndResult {
     /// The caller is to be told.
-    Told(Verdict),
+    Decided(Verdict),
     /// The target is to be asked what it did.
-    Ask(Question),
+    QueryTarget(OutcomeQuery),
 }
 
 /// Claims calls, for the traffic threads. Cheap to clone.
@@ -77,7 +77,7 @@
 
 /// A call whose result its target may know.
 #[must_use]
-pub struct Question {
+pub struct OutcomeQuery {
     /// The target.
     pub target: TargetId,
     /// The try.
@@ -87,7 +87,7 @@
 /// A try with its place in the backlog; cleans up when it is dropped.
 struct OpenTry {
     /// The try.
-    call: Try,
+    call: Attempt,
     /// Access to the writer.
     ledger: LedgerHandle,
     /// Whether a job took over the place in the backlog.
@@ -112,29 +112,29 @@
     }
 
     /// Claims a call. Nothing may be sent before the claim is held.
-    pub async fn begin(&self, call: NewCall) -> Begun {
+    pub async fn begin(&self, call: NewCall) -> BeginResult {
         if self.shared.is_open() {
-            return Begun::Told(Verdict::Refused(RefusedReason::StoreUnavailable));
+            return BeginResult::Decided(Verdict::Refused(RefusedReason::StoreUnavailable));
         }
         let Some(mut open) = self.open(&call) else {
-            return Begun::Told(Verdict::Refused(RefusedReason::BacklogFull));
+            return BeginResult::Decided(Verdict::Refused(RefusedReason::BacklogFull));
         };
         let mut input = Input::Start;
         loop {
             input = match open.step(input) {
                 Some(Effect::Insert(write)) => self.insert(write).await,
                 Some(Effect::Read(key)) => self.read_back(key).await,
-                Some(Effect::Hold) => return Begun::Held(HeldClaim(Box::new(open))),
-                Some(Effect::Ask(target)) => {
-                    return Begun::Ask(Question {
+                Some(Effect::Hold) => return BeginResult::Held(HeldClaim(Box::new(open))),
+                Some(Effect::QueryTarget(target)) => {
+                    return BeginResult::QueryTarget(OutcomeQuery {
                         target,
                         call: Box::new(open),
                     });
                 }
-                Some(Effect::Tell(verdict)) => return Begun::Told(verdict),
+                Some(Effect::Respond(verdict)) => return BeginResult::Decided(verdict),
                 // The chart allows no other effect before a claim is held.
                 Some(Effect::Dispatch) | None => {
-                    return Begun::Told(Verdict::Refused(RefusedReason::StoreUnavailable));
+                    return BeginResult::Decided(Verdict::Refused(RefusedReason::StoreUnavailable));
                 }
             };
         }
@@ -184,7 +184,7 @@
         let read = shared.table.read(vec![key]);
         let rows = shared.wait_for(read, shared.settings.read_back_timeout).await;
         match rows.ok().and_then(|rows| rows.into_iter().next()) {
-            Some(Some(row)) => match Found::parse(&row, &*shared.is_alive) {
+            Some(Some(row)) => match StoredClaim::parse(&row, &*shared.is_alive) {
                 Ok(found) => Input::Read(Some(found)),
                 Err(_) => Input::StoreFailed,
             },
@@ -213,7 +213,7 @@
         let first_byte = self.0.ledger.now() + margin;
         match self.0.step_at(Input::Send, first_byte) {
             Some(Effect::Dispatch) => Ok(SentCall(self.0)),
-            Some(Effect::Tell(verdict)) => Err(verdict),
+            Some(Effect::Respond(verdict)) => Err(verdict),
             _ => Err(Verdict::Refused(RefusedReason::Lapsed)),
         }
     }
@@ -221,29 +221,31 @@
 
 impl SentCall {
     /// Records what became of the call.
-    pub async fn end(mut self, end: CallEnd) -> Ended {
+    pub async fn end(mut self, end: CallEnd) -> EndResult {
         let input = match end {
             CallEnd::Answered(reply) => Input::Answered(reply),
             CallEnd::NotRun => Input::NotRun,
             CallEnd::Lost => Input::AnswerLost,
         };
         match self.0.step(input) {
-            Some(Effect::Tell(verdict)) => {
+            Some(Effect::Respond(verdict)) => {
                 self.0.wait_until_written().await;
-                Ended::Told(verdict)
+                EndResult::Decided(verdict)
             }
-            Some(Effect::Ask(target)) => Ended::Ask(Question { target, call: self.0 }),
-            _ => Ended::Told(Verdict::Unknown),
+            Some(Effect::QueryTarget(target)) => {
+                EndResult::QueryTarget(OutcomeQuery { target, call: self.0 })
+            }
+            _ => EndResult::Decided(Verdict::Unknown),
         }
     }
 }
 
-impl Question {
+impl OutcomeQuery {
     /// Takes the target's answer: the reply if it says that the call ran, `None` if it does not or can't say.
-    pub async fn answer(mut self, reply: Option<RecordedReply>) -> Verdict {
-        let input = reply.map_or(Input::TargetOpen, Input::TargetRan);
+    pub async fn resolve(mut self, reply: Option<RecordedReply>) -> Verdict {
+        let input = reply.map_or(Input::TargetInconclusive, Input::TargetRan);
         match self.call.step(input) {
-            Some(Effect::Tell(verdict)) => {
+            Some(Effect::Respond(verdict)) => {
                 self.call.wait_until_written().await;
                 verdict
             }
--- a/components/ledger/src/job.rs
+++ b/components/ledger/src/job.rs
@@ -1,6 +1,6 @@
 use metadata::{Expect, RowKey, RowVersion};
 
-use crate::{ClaimRow, ClaimState, Found, RowWrite, WriteResult};
+use crate::{ClaimRow, ClaimState, RowWrite, StoredClaim, WriteResult};
 
 /// A background write that is repeated until it took effect or is needless.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -15,7 +15,7 @@
     /// Nothing is left to do.
     Done,
     /// [`Job::write`] is to be made again.
-    Again,
+    Retry,
 }
 
 impl Job {
@@ -46,7 +46,7 @@
     pub fn step(&mut self, result: &WriteResult) -> JobStep {
         match result {
             WriteResult::Applied(_) | WriteResult::Malformed => JobStep::Done,
-            WriteResult::Lost | WriteResult::NotSent => JobStep::Again,
+            WriteResult::Lost | WriteResult::NotSent => JobStep::Retry,
             WriteResult::Refused(None) => self.expect(Expect::Absent),
             WriteResult::Refused(Some(found)) if self.replaces(found) => {
                 self.expect(Expect::Version(found.version))
@@ -56,7 +56,7 @@
     }
 
     /// Whether the found row is older news than the write.
-    fn replaces(&self, found: &Found) -> bool {
+    fn replaces(&self, found: &StoredClaim) -> bool {
         let is_own = found.row.attempt == self.write.row.attempt;
         match (&self.write.row.state, &found.row.state) {
             (ClaimState::Abandoned, ClaimState::Claimed) => is_own,
@@ -70,6 +70,6 @@
 
     fn expect(&mut self, expect: Expect) -> JobStep {
         self.write.expect = expect;
-        JobStep::Again
+        JobStep::Retry
     }
 }
--- a/components/ledger/src/lib.rs
+++ b/components/ledger/src/lib.rs
@@ -14,12 +14,12 @@
 pub use batch::{Batch, Batcher, WriteResult};
 pub use breaker::Breaker;
 pub use error::LedgerError;
-pub use handle::{Begun, CallEnd, Ended, HeldClaim, LedgerHandle, NewCall, Question, SentCall};
+pub use handle::{BeginResult, CallEnd, EndResult, HeldClaim, LedgerHandle, NewCall, OutcomeQuery, SentCall};
 pub use job::{Job, JobStep};
-pub use protocol::{Effect, Input, Protocol, Step, Try};
+pub use protocol::{Attempt, Effect, Input, Protocol, Step};
 pub use row::{
-    AttemptId, CallKey, ClaimRow, ClaimState, Found, Holder, ParseAttemptIdError, RecordedBody,
-    RecordedReply, RowWrite,
+    AttemptId, CallKey, ClaimRow, ClaimState, Holder, ParseAttemptIdError, RecordedBody, RecordedReply,
+    RowWrite, StoredClaim,
 };
 pub use settings::LedgerSettings;
 pub use verdict::{RefusedReason, Verdict};
--- a/components/ledger/src/protocol.rs
+++ b/components/ledger/src/protocol.rs
@@ -4,14 +4,16 @@
 use metadata::{Expect, RowKey, RowVersion};
 use utils::{Monotonic, TargetId};
 
-use crate::{ClaimRow, ClaimState, Found, Job, LedgerError, RecordedReply, RefusedReason, RowWrite, Verdict};
+use crate::{
+    ClaimRow, ClaimState, Job, LedgerError, RecordedReply, RefusedReason, RowWrite, StoredClaim, Verdict,
+};
 
 /// Most inserts that one try sends.
 const MAX_INSERTS: u8 = 3;
 
 /// One caller's try at a call; changed only by [`Protocol::step`].
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Try {
+pub struct Attempt {
     /// State in the chart.
     state: StateKey,
     /// Key of the call's row.
@@ -29,7 +31,7 @@
     /// Version of the own claim, once it is held.
     held: Option<RowVersion>,
     /// The claim of another try, when its target is asked.
-    other: Option<Found>,
+    other: Option<StoredClaim>,
 }
 
 /// What happened.
@@ -40,13 +42,13 @@
     /// The write took effect.
     Applied(RowVersion),
     /// The write had no effect because of this row, or because there is none.
-    Refused(Option<Found>),
+    Refused(Option<StoredClaim>),
     /// The answer is lost; the write may take effect, also later.
     Lost,
     /// The write was certainly not sent, or the read failed.
     StoreFailed,
     /// The row was read.
-    Read(Option<Found>),
+    Read(Option<StoredClaim>),
     /// The first byte is about to be sent.
     Send,
     /// The caller is gone or the target can't be used; nothing was sent.
@@ -60,7 +62,7 @@
     /// The target says that the call ran, with this answer.
     TargetRan(RecordedReply),
     /// The target can't say that the call ran.
-    TargetOpen,
+    TargetInconclusive,
 }
 
 /// What is to be done next for a try.
@@ -75,9 +77,9 @@
     /// Send the call now.
     Dispatch,
     /// Ask the target that the call went to for the outcome.
-    Ask(TargetId),
+    QueryTarget(TargetId),
     /// Tell the caller.
-    Tell(Verdict),
+    Respond(Verdict),
 }
 
 /// What follows from an input.
@@ -111,7 +113,7 @@
 /// assert_eq!(protocol.step(&mut call, Input::Applied(1), at(1))?.effect, Effect::Hold);
 /// // The process was paused for longer than the claim is valid.
 /// let late = protocol.step(&mut call, Input::Send, at(3))?;
-/// assert!(matches!(late.effect, Effect::Tell(_)));
+/// assert!(matches!(late.effect, Effect::Respond(_)));
 /// # Ok::<(), error_stack::Report<ledger::LedgerError>>(())
 /// ```
 #[derive(Debug, Clone)]
@@ -131,8 +133,8 @@
     }
 
     /// A new try that will insert `row`.
-    pub fn start(&self, key: impl Into<RowKey>, row: ClaimRow) -> Try {
-        Try {
+    pub fn start(&self, key: impl Into<RowKey>, row: ClaimRow) -> Attempt {
+        Attempt {
             state: self.chart.chart().initial(),
             key: key.into(),
             row,
@@ -146,7 +148,7 @@
     }
 
     /// What may be told about the try in its present state.
-    pub fn outcome(&self, call: &Try) -> Outcome {
+    pub fn outcome(&self, call: &Attempt) -> Outcome {
         self.chart.chart().state(call.state).outcome
     }
 
@@ -154,7 +156,12 @@
     ///
     /// # Errors
     /// [`LedgerError::OutOfOrder`] if the chart does not allow the input now; the try stays as it is.
-    pub fn step(&self, call: &mut Try, input: Input, now: Monotonic) -> Result<Step, Report<LedgerError>> {
+    pub fn step(
+        &self,
+        call: &mut Attempt,
+        input: Input,
+        now: Monotonic,
+    ) -> Result<Step, Report<LedgerError>> {
         let events = &self.chart;
         match input {
             Input::Start => self.start_insert(call, now),
@@ -171,20 +178,20 @@
             Input::NotRun => self.refuse(call, events.refuse_by_target, RefusedReason::ByTarget),
             Input::AnswerLost => {
                 self.go(call, events.lose)?;
-                Ok(step(Effect::Ask(call.row.target.clone())))
+                Ok(step(Effect::QueryTarget(call.row.target.clone())))
             }
             Input::TargetRan(reply) => self.settle(call, events.find_ran, reply),
-            Input::TargetOpen => self.leave_open(call),
+            Input::TargetInconclusive => self.leave_open(call),
         }
     }
 
-    fn go(&self, call: &mut Try, event: EventKey) -> Result<(), Report<LedgerError>> {
+    fn go(&self, call: &mut Attempt, event: EventKey) -> Result<(), Report<LedgerError>> {
         let next = self.chart.chart().next(call.state, event);
         call.state = next.ok_or_else(|| Report::new(LedgerError::OutOfOrder))?;
         Ok(())
     }
 
-    fn start_insert(&self, call: &mut Try, now: Monotonic) -> Result<Step, Report<LedgerError>> {
+    fn start_insert(&self, call: &mut Attempt, now: Monotonic) -> Result<Step, Report<LedgerError>> {
         self.go(call, self.chart.insert)?;
         call.deadline = Some(now + call.row.valid_for());
         Ok(call.insert())
@@ -193,7 +200,7 @@
     /// The deadline stays that of the first insert, which may be the one that took effect.
     fn insert_again(
         &self,
-        call: &mut Try,
+        call: &mut Attempt,
         event: EventKey,
         expect: Expect,
         now: Monotonic,
@@ -206,7 +213,7 @@
         Ok(call.insert())
     }
 
-    fn read_back(&self, call: &mut Try) -> Result<Step, Report<LedgerError>> {
+    fn read_back(&self, call: &mut Attempt) -> Result<Step, Report<LedgerError>> {
         self.go(call, self.chart.answer_lost)?;
         call.is_in_doubt = true;
         Ok(step(Effect::Read(call.key.clone())))
@@ -214,7 +221,7 @@
 
     fn hold(
         &self,
-        call: &mut Try,
+        call: &mut Attempt,
         event: EventKey,
         version: RowVersion,
     ) -> Result<Step, Report<LedgerError>> {
@@ -223,7 +230,12 @@
         Ok(step(Effect::Hold))
     }
 
-    fn find(&self, call: &mut Try, found: Found, now: Monotonic) -> Result<Step, Report<LedgerError>> {
+    fn find(
+        &self,
+        call: &mut Attempt,
+        found: StoredClaim,
+        now: Monotonic,
+    ) -> Result<Step, Report<LedgerError>> {
         let events = &self.chart;
         if found.row.state == ClaimState::Abandoned {
             return self.insert_again(call, events.find_abandoned, Expect::Version(found.version), now);
@@ -244,13 +256,13 @@
     }
 
     /// Leaves a try whose caller is gone: a claim that was not used is given up, a call that was sent stays unknown.
-    pub fn abort(&self, call: &mut Try, now: Monotonic) -> Option<Job> {
+    pub fn abort(&self, call: &mut Attempt, now: Monotonic) -> Option<Job> {
         let inputs = [
             Input::Lost,
             Input::StoreFailed,
             Input::GiveUp,
             Input::AnswerLost,
-            Input::TargetOpen,
+            Input::TargetInconclusive,
         ];
         inputs
             .into_iter()
@@ -258,14 +270,19 @@
             .find_map(|step| step.job)
     }
 
-    fn ask(&self, call: &mut Try, event: EventKey, found: Found) -> Result<Step, Report<LedgerError>> {
+    fn ask(
+        &self,
+        call: &mut Attempt,
+        event: EventKey,
+        found: StoredClaim,
+    ) -> Result<Step, Report<LedgerError>> {
         self.go(call, event)?;
         let target = found.row.target.clone();
         call.other = Some(found);
-        Ok(step(Effect::Ask(target)))
+        Ok(step(Effect::QueryTarget(target)))
     }
 
-    fn send(&self, call: &mut Try, now: Monotonic) -> Result<Step, Report<LedgerError>> {
+    fn send(&self, call: &mut Attempt, now: Monotonic) -> Result<Step, Report<LedgerError>> {
         if call.has_lapsed(now) {
             return self.refuse(call, self.chart.lapse, RefusedReason::Lapsed);
         }
@@ -275,7 +292,7 @@
 
     fn settle(
         &self,
-        call: &mut Try,
+        call: &mut Attempt,
         event: EventKey,
         reply: RecordedReply,
     ) -> Result<Step, Report<LedgerError>> {
@@ -285,7 +302,7 @@
     }
 
     /// Only the holder writes that the result is not known.
-    fn leave_open(&self, call: &mut Try) -> Result<Step, Report<LedgerError>> {
+    fn leave_open(&self, call: &mut Attempt) -> Result<Step, Report<LedgerError>> {
         let mut next = self.tell(call, self.chart.find_open, Verdict::Unknown)?;
         if call.other.is_none() {
             next.job = call.settlement(ClaimState::Unknown);
@@ -293,15 +310,20 @@
         Ok(next)
     }
 
-    fn tell(&self, call: &mut Try, event: EventKey, verdict: Verdict) -> Result<Step, Report<LedgerError>> {
+    fn tell(
+        &self,
+        call: &mut Attempt,
+        event: EventKey,
+        verdict: Verdict,
+    ) -> Result<Step, Report<LedgerError>> {
         self.go(call, event)?;
         debug_assert_eq!(self.outcome(call), verdict.outcome());
-        Ok(step(Effect::Tell(verdict)))
+        Ok(step(Effect::Respond(verdict)))
     }
 
     fn refuse(
         &self,
-        call: &mut Try,
+        call: &mut Attempt,
         event: EventKey,
         reason: RefusedReason,
     ) -> Result<Step, Report<LedgerError>> {
@@ -313,7 +335,7 @@
     }
 }
 
-impl Try {
+impl Attempt {
     /// End of the claim.
     pub fn deadline(&self) -> Option<Monotonic> {
         self.deadline
--- a/components/ledger/src/row.rs
+++ b/components/ledger/src/row.rs
@@ -176,7 +176,7 @@
 
 /// A row as it was read.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Found {
+pub struct StoredClaim {
     /// Content.
     pub row: ClaimRow,
     /// Version of the row.
@@ -200,7 +200,7 @@
     }
 }
 
-impl Found {
+impl StoredClaim {
     /// Reads a row of the table.
     ///
     /// # Errors
--- a/components/ledger/src/writer.rs
+++ b/components/ledger/src/writer.rs
@@ -303,7 +303,7 @@
                 .shared
                 .wait(self.shared.table.transact(batch.transaction()))
                 .await;
-            let (results, rest) = batch.settle(answer, &*self.shared.is_alive);
+            let (results, rest) = batch.handle_answer(answer, &*self.shared.is_alive);
             for (tag, result) in results {
                 self.deliver(tag, result);
             }
@@ -318,7 +318,7 @@
                 let _ = tx.try_send(result);
             }
             Tag::Job(mut job, tx) => match job.step(&result) {
-                JobStep::Again => self.push_job(job, tx),
+                JobStep::Retry => self.push_job(job, tx),
                 JobStep::Done => {
                     self.shared.stats.backlog.fetch_sub(1, Ordering::Relaxed);
                     // The caller may have stopped waiting.
@@ -359,7 +359,7 @@
             return;
         }
         let now = shared.clock.now();
-        breaker.fail(now, rand::rng().random::<f64>());
+        breaker.record_failure(now, rand::rng().random::<f64>());
         let left = breaker.probe_at().unwrap_or(now).saturating_sub(now);
         let slept = async {
             Timer::after(left).await;
--- a/components/ledger/tests/batch.rs
+++ b/components/ledger/tests/batch.rs
@@ -62,7 +62,7 @@
 
 fn settle(table: &MemoryTable, batch: ledger::Batch<usize>) -> Settled {
     let committed = table.apply(&batch.transaction());
-    batch.settle(Ok(committed), |_: &ClaimRow| true)
+    batch.handle_answer(Ok(committed), |_: &ClaimRow| true)
 }
 
 fn take<T>(batcher: &mut Batcher<T>) -> Batch<T> {
--- a/components/ledger/tests/driver.rs
+++ b/components/ledger/tests/driver.rs
@@ -6,24 +6,24 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use ledger::{Begun, CallEnd, Ended, HeldClaim, LedgerHandle, NewCall, RefusedReason, Verdict};
+use ledger::{BeginResult, CallEnd, EndResult, HeldClaim, LedgerHandle, NewCall, RefusedReason, Verdict};
 use smol::LocalExecutor;
 use support::{Fault, FaultyTable, call, host, reply};
 use utils::{Clock, ManualClock, SystemClock};
 
 async fn held(handle: &LedgerHandle, new: NewCall) -> HeldClaim {
     match handle.begin(new).await {
-        Begun::Held(claim) => claim,
-        Begun::Ask(_) => panic!("a question instead of a claim"),
-        Begun::Told(verdict) => panic!("{verdict:?} instead of a claim"),
+        BeginResult::Held(claim) => claim,
+        BeginResult::QueryTarget(_) => panic!("a question instead of a claim"),
+        BeginResult::Decided(verdict) => panic!("{verdict:?} instead of a claim"),
     }
 }
 
 async fn told(handle: &LedgerHandle, new: NewCall) -> Verdict {
     match handle.begin(new).await {
-        Begun::Told(verdict) => verdict,
-        Begun::Held(_) => panic!("a claim instead of a verdict"),
-        Begun::Ask(_) => panic!("a question instead of a verdict"),
+        BeginResult::Decided(verdict) => verdict,
+        BeginResult::Held(_) => panic!("a claim instead of a verdict"),
+        BeginResult::QueryTarget(_) => panic!("a question instead of a verdict"),
     }
 }
 
@@ -32,8 +32,8 @@
         panic!("the claim has lapsed");
     };
     match sent.end(CallEnd::Answered(reply(text))).await {
-        Ended::Told(verdict) => verdict,
-        Ended::Ask(_) => panic!("a question instead of a verdict"),
+        EndResult::Decided(verdict) => verdict,
+        EndResult::QueryTarget(_) => panic!("a question instead of a verdict"),
     }
 }
 
@@ -91,8 +91,11 @@
         for one in tries {
             begun.push(one.await);
         }
-        assert_eq!(begun.iter().filter(|b| matches!(b, Begun::Held(_))).count(), 1);
-        let in_progress = |b: &&Begun| matches!(b, Begun::Told(Verdict::InProgress));
+        assert_eq!(
+            begun.iter().filter(|b| matches!(b, BeginResult::Held(_))).count(),
+            1
+        );
+        let in_progress = |b: &&BeginResult| matches!(b, BeginResult::Decided(Verdict::InProgress));
         assert_eq!(begun.iter().filter(in_progress).count(), 17);
     }));
 }
@@ -176,7 +179,7 @@
 async fn held_soon(handle: &LedgerHandle, clock: &ManualClock, first_attempt: u128) -> HeldClaim {
     for attempt in first_attempt..first_attempt + 1_000 {
         clock.advance(Duration::from_millis(10));
-        if let Begun::Held(claim) = handle.begin(call("7", attempt, "20 bales")).await {
+        if let BeginResult::Held(claim) = handle.begin(call("7", attempt, "20 bales")).await {
             return claim;
         }
     }
@@ -194,15 +197,15 @@
         let claim = held(&handle, call("7", 2, "20 bales")).await;
         drop(claim.dispatch().ok());
         settled(&handle).await;
-        let Begun::Ask(question) = handle.begin(call("7", 3, "20 bales")).await else {
+        let BeginResult::QueryTarget(question) = handle.begin(call("7", 3, "20 bales")).await else {
             panic!("the target is not asked");
         };
-        assert_eq!(question.answer(None).await, Verdict::Unknown);
-        let Begun::Ask(question) = handle.begin(call("7", 4, "20 bales")).await else {
+        assert_eq!(question.resolve(None).await, Verdict::Unknown);
+        let BeginResult::QueryTarget(question) = handle.begin(call("7", 4, "20 bales")).await else {
             panic!("the target is not asked");
         };
         assert_eq!(
-            question.answer(Some(reply("order 7"))).await,
+            question.resolve(Some(reply("order 7"))).await,
             Verdict::Reply(reply("order 7"))
         );
         settled(&handle).await;
--- a/components/ledger/tests/faults/host.rs
+++ b/components/ledger/tests/faults/host.rs
@@ -1,7 +1,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use ledger::{Batcher, Breaker, Job, Try};
+use ledger::{Attempt, Batcher, Breaker, Job};
 use utils::Monotonic;
 
 /// Whose a write is.
@@ -12,7 +12,7 @@
 
 /// A try under way.
 pub(crate) struct Open {
-    pub(crate) call: Try,
+    pub(crate) call: Attempt,
     pub(crate) key: u64,
     pub(crate) target: usize,
     pub(crate) came: Monotonic,
--- a/components/ledger/tests/faults/sim.rs
+++ b/components/ledger/tests/faults/sim.rs
@@ -270,7 +270,7 @@
                 self.at(wait, Some(host), Event::Send { attempt });
             }
             Effect::Dispatch => self.dispatch(host, attempt, key, target),
-            Effect::Ask(asked) => {
+            Effect::QueryTarget(asked) => {
                 let asked = asked.parse().expect("number of a target");
                 let wait = millis(&mut self.rng, 1, 5);
                 self.at(
@@ -282,7 +282,7 @@
                     },
                 );
             }
-            Effect::Tell(verdict) => {
+            Effect::Respond(verdict) => {
                 if verdict == Verdict::Refused(RefusedReason::StoreUnavailable) {
                     self.counts.refusals.push((self.now - came).as_millis() as u64);
                 }
@@ -362,7 +362,7 @@
         let can_say =
             target + 1 < TARGETS && self.world.call_fate(target, &mut self.rng) == CallFate::Answered;
         let ran = self.world.targets[target].ran.get(&key).filter(|_| can_say);
-        let input = ran.map_or(Input::TargetOpen, |ran| Input::TargetRan(reply(*ran)));
+        let input = ran.map_or(Input::TargetInconclusive, |ran| Input::TargetRan(reply(*ran)));
         self.input(host, attempt, input);
     }
 
--- a/components/ledger/tests/faults/store.rs
+++ b/components/ledger/tests/faults/store.rs
@@ -1,7 +1,7 @@
 //! How hosts write to the table service and read from it.
 
 use error_stack::Report;
-use ledger::{Batch, ClaimRow, Found, Input, JobStep, WriteResult};
+use ledger::{Batch, ClaimRow, Input, JobStep, StoredClaim, WriteResult};
 use metadata::{Committed, PlatformError};
 use rand::RngExt;
 use std::time::Duration;
@@ -31,7 +31,7 @@
         this.inserts.fill(&mut batch, BATCH_ROWS);
         if !this.breaker.is_closed() {
             let (results, _) =
-                batch.settle(Err(Report::new(PlatformError::Unreachable)), |_: &ClaimRow| true);
+                batch.handle_answer(Err(Report::new(PlatformError::Unreachable)), |_: &ClaimRow| true);
             results
                 .into_iter()
                 .for_each(|(tag, result)| self.deliver(host, tag, result));
@@ -75,7 +75,7 @@
     ) {
         self.note_store(host, answer.is_ok());
         let alive = self.alive();
-        let (results, rest) = batch.settle(answer.map_err(Report::new), |row| alive(&row.holder));
+        let (results, rest) = batch.handle_answer(answer.map_err(Report::new), |row| alive(&row.holder));
         results
             .into_iter()
             .for_each(|(tag, result)| self.deliver(host, tag, result));
@@ -101,7 +101,7 @@
                 self.input(host, attempt, input);
             }
             Tag::Job(mut job) => {
-                if job.step(&result) == JobStep::Again {
+                if job.step(&result) == JobStep::Retry {
                     self.hosts[host].push_job(*job);
                 }
             }
@@ -111,23 +111,23 @@
     /// Opens or closes the host's circuit breaker.
     pub(crate) fn note_store(&mut self, host: usize, is_answered: bool) {
         if is_answered {
-            self.hosts[host].breaker.succeed();
+            self.hosts[host].breaker.record_success();
             return;
         }
         if self.hosts[host].breaker.is_closed() {
             self.at(Duration::from_millis(1), Some(host), Event::Probe);
         }
         let jitter = self.rng.random::<f64>();
-        self.hosts[host].breaker.fail(self.now, jitter);
+        self.hosts[host].breaker.record_failure(self.now, jitter);
     }
 
     pub(crate) fn probe(&mut self, host: usize) {
         if self.world.store_mood(&mut self.rng) == StoreMood::Answers {
-            self.hosts[host].breaker.succeed();
+            self.hosts[host].breaker.record_success();
             return self.wake(host);
         }
         let jitter = self.rng.random::<f64>();
-        self.hosts[host].breaker.fail(self.now, jitter);
+        self.hosts[host].breaker.record_failure(self.now, jitter);
         let due = self.hosts[host].breaker.probe_at().unwrap_or(self.now);
         self.at(due - self.now, Some(host), Event::Probe);
     }
@@ -140,10 +140,10 @@
         }
     }
 
-    pub(crate) fn read(&self, host: usize, attempt: u64) -> Option<Found> {
+    pub(crate) fn read(&self, host: usize, attempt: u64) -> Option<StoredClaim> {
         let open = self.hosts[host].open.get(&attempt)?;
         let row = self.world.table.get(&row_key(open.key))?;
         let alive = self.alive();
-        Some(Found::parse(&row, |row| alive(&row.holder)).expect("claim"))
+        Some(StoredClaim::parse(&row, |row| alive(&row.holder)).expect("claim"))
     }
 }
--- a/components/logs/src/lib.rs
+++ b/components/logs/src/lib.rs
@@ -1,7 +1,7 @@
 //! Log lines: how many a host writes, and what those of several hosts tell of one request.
 
 mod budget;
-mod story;
+mod timeline;
 
 pub use budget::{LineLimits, LogBudget};
-pub use story::{Story, StoryError, StoryLine};
+pub use timeline::{RequestTimeline, TimelineEntry, TimelineError};
--- a/components/logs/src/story.rs
+++ b/components/logs/src/timeline.rs
@@ -9,14 +9,14 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 #[error("{source_name} can not be read")]
-pub struct StoryError {
+pub struct TimelineError {
     /// Name of the log.
     source_name: String,
 }
 
 /// A line that names the request.
 #[derive(Debug, Clone, PartialEq)]
-pub struct StoryLine {
+pub struct TimelineEntry {
     /// Time that the host wrote, RFC 3339.
     pub time: String,
     /// Name of the log, that is of the host.
@@ -29,9 +29,9 @@
 
 /// What the logs of several hosts tell of one request, by time.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Story {
+pub struct RequestTimeline {
     /// The lines.
-    pub lines: Vec<StoryLine>,
+    pub lines: Vec<TimelineEntry>,
 }
 
 /// A line as `slog-json` writes it.
@@ -44,22 +44,22 @@
     details: Map<String, Value>,
 }
 
-impl Story {
+impl RequestTimeline {
     /// Adds the lines of a log that name a request. Lines of another form are passed over: other programs write to the
     /// same stream.
     ///
     /// # Errors
-    /// [`StoryError`] if the log can not be read to its end.
+    /// [`TimelineError`] if the log can not be read to its end.
     ///
     /// ```
     /// let log = r#"{"msg":"refused","request":"r1","name":"route_refused","ts":"2026-12-04T08:00:00Z","event":5002,"level":"WARN"}"#;
-    /// let mut story = logs::Story::default();
+    /// let mut story = logs::RequestTimeline::default();
     /// story.add("host-1", log.as_bytes(), "r1").unwrap();
     /// assert_eq!(story.lines[0].event, "route_refused");
     /// ```
-    pub fn add(&mut self, log: &str, text: impl BufRead, request: &str) -> Result<(), Report<StoryError>> {
+    pub fn add(&mut self, log: &str, text: impl BufRead, request: &str) -> Result<(), Report<TimelineError>> {
         for line in text.lines() {
-            let line = line.change_context_lazy(|| StoryError {
+            let line = line.change_context_lazy(|| TimelineError {
                 source_name: log.to_owned(),
             })?;
             let Ok(raw) = serde_json::from_str::<RawLine>(&line) else {
@@ -74,12 +74,12 @@
     }
 }
 
-fn told(log: &str, raw: RawLine) -> StoryLine {
+fn told(log: &str, raw: RawLine) -> TimelineEntry {
     let mut details = raw.details;
     for known in ["msg", "level", "event"] {
         details.remove(known);
     }
-    StoryLine {
+    TimelineEntry {
         time: raw.ts,
         log: log.to_owned(),
         event: raw.name,
@@ -87,7 +87,7 @@
     }
 }
 
-impl fmt::Display for Story {
+impl fmt::Display for RequestTimeline {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for line in &self.lines {
             write!(f, "{}  {}  {}", line.time, line.log, line.event)?;
--- a/components/logs/tests/logs.rs
+++ b/components/logs/tests/logs.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use logs::{LineLimits, LogBudget, Story};
+use logs::{LineLimits, LogBudget, RequestTimeline};
 use slog::{Drain, Level, Logger, Never, OwnedKVList, Record, info, o, warn};
 use utils::ManualClock;
 
@@ -85,7 +85,7 @@
     ]
     .join("\n");
     let second = [line(2, "route_placed", "r2"), line(5, "route_placed", "r1")].join("\n");
-    let mut story = Story::default();
+    let mut story = RequestTimeline::default();
     story.add("host-1", first.as_bytes(), "r1").unwrap();
     story.add("host-2", second.as_bytes(), "r1").unwrap();
     assert_eq!(
--- a/specs/src/at_most_once/steps.rs
+++ b/specs/src/at_most_once/steps.rs
@@ -96,12 +96,12 @@
             WorldAction::RefusedByTarget { host },
             WorldAction::LoseAnswer { host },
         ]),
-        Effect::Ask(_) => {
+        Effect::QueryTarget(_) => {
             for can_answer in [false, true] {
                 actions.push(WorldAction::QueryTarget { host, can_answer });
             }
         }
-        Effect::Tell(_) => {}
+        Effect::Respond(_) => {}
     }
 }
 
@@ -148,7 +148,7 @@
             let answer = if answers {
                 Input::TargetRan(reply())
             } else {
-                Input::TargetOpen
+                Input::TargetInconclusive
             };
             apply_input(spec, world, host, answer)
         }
@@ -284,7 +284,7 @@
     let number = usize::from(attempt.number);
     attempt.next = step.effect.clone();
     world.hosts[host].jobs.extend(step.job);
-    if let Effect::Tell(verdict) = step.effect {
+    if let Effect::Respond(verdict) = step.effect {
         report_outcome(world, host, number, &verdict);
     }
     Some(())
@@ -302,7 +302,7 @@
         world.losses -= 1;
         result = WriteResult::Lost;
     }
-    if job.step(&result) == JobStep::Again {
+    if job.step(&result) == JobStep::Retry {
         world.hosts[host].jobs.push(job);
     }
     Some(())
--- a/specs/src/at_most_once/world.rs
+++ b/specs/src/at_most_once/world.rs
@@ -1,5 +1,5 @@
 use errors::Outcome;
-use ledger::{ClaimRow, ClaimState, Effect, Found, Job, RowWrite, Try, WriteResult};
+use ledger::{Attempt, ClaimRow, ClaimState, Effect, Job, RowWrite, StoredClaim, WriteResult};
 use metadata::{Expect, RowVersion};
 
 use super::CallInvariant;
@@ -74,7 +74,7 @@
     /// Number of the attempt.
     pub(crate) number: u8,
     /// The daemon's state of the attempt.
-    pub(crate) call: Try,
+    pub(crate) call: Attempt,
     /// Effect to carry out next.
     pub(crate) next: Effect,
 }
@@ -160,9 +160,9 @@
     }
 
     /// Returns the row as a host reads it; with `is_suspected` a running holder appears failed.
-    pub(crate) fn found(&self, is_suspected: bool) -> Option<Found> {
+    pub(crate) fn found(&self, is_suspected: bool) -> Option<StoredClaim> {
         let (row, version) = self.row.as_ref()?;
-        Some(Found {
+        Some(StoredClaim {
             is_holder_alive: self.is_alive(row) && !is_suspected,
             row: row.clone(),
             version: *version,
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -2,7 +2,7 @@
 use std::io::BufReader;
 
 use error_stack::{Report, ResultExt};
-use logs::Story;
+use logs::RequestTimeline;
 
 use super::print_text;
 use crate::cli::ExplainArgs;
@@ -10,7 +10,7 @@
 
 /// Prints what the logs of several hosts tell of one request.
 pub(crate) fn explain(args: &ExplainArgs) -> Result<(), Report<CommandError>> {
-    let mut story = Story::default();
+    let mut story = RequestTimeline::default();
     for path in &args.logs {
         let file = File::open(path)
             .change_context_lazy(|| CommandError::NoLog(path.clone()))
