--- a/components/ledger/src/batch.rs
+++ b/components/ledger/src/batch.rs
@@ -5,22 +5,22 @@
 
 use crate::{ClaimRow, RowWrite, StoredClaim};
 
-/// What became of one write.
+/// Result of one write.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum WriteResult {
-    /// It took effect.
+    /// The write took effect; holds the new version of the row.
     Applied(RowVersion),
-    /// It had no effect because of this row, or because there is none.
+    /// The condition did not hold, so the write had no effect; holds the present row, if there is one.
     Refused(Option<StoredClaim>),
-    /// Its answer is lost; it may take effect, also later.
+    /// No answer was received. The write may have taken effect or may still do so later.
     Lost,
-    /// It was certainly not sent.
+    /// The write was not sent.
     NotSent,
-    /// The row that stands in its way is not a claim.
+    /// The condition did not hold, and the present row cannot be parsed as a claim.
     Malformed,
 }
 
-/// Writes that wait for a transaction, each with a tag that says whose it is.
+/// Queue of writes that wait for a transaction, each with a tag that identifies the requester.
 ///
 /// ```
 /// use ledger::{Batch, Batcher};
@@ -32,14 +32,14 @@
 /// ```
 #[derive(Debug)]
 pub struct Batcher<T> {
-    /// Writes in the order of their arrival.
+    /// Waiting writes in order of arrival.
     waiting: VecDeque<(RowWrite, T)>,
 }
 
 /// Writes that share one transaction.
 #[derive(Debug)]
 pub struct Batch<T> {
-    /// The writes; all rows differ.
+    /// The writes with their tags; each row key occurs once.
     entries: Vec<(RowWrite, T)>,
 }
 
@@ -58,26 +58,27 @@
 }
 
 impl<T> Batcher<T> {
-    /// Adds a write.
+    /// Appends a write to the queue.
     pub fn push(&mut self, write: RowWrite, tag: T) {
         self.waiting.push_back((write, tag));
     }
 
-    /// Whether nothing waits.
+    /// Whether no write waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Number of writes that wait.
+    /// Returns the number of waiting writes.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Adds waiting writes to a batch until it has `max_rows`. A second write of the same row waits for another batch: the
-    /// conditions of a transaction are checked before its writes, so both of two inserts would pass.
+    /// Moves waiting writes to a batch until it has `max_rows`. A second write of the same row stays in the
+    /// queue for a later batch: the table service checks all conditions of a transaction before it writes, so
+    /// two inserts of one row would both pass.
     pub fn fill(&mut self, batch: &mut Batch<T>, max_rows: usize) {
         let mut rows: HashSet<RowKey> = batch.entries.iter().map(|(w, _)| w.key.clone()).collect();
-        let mut kept = VecDeque::new();
+        let mut deferred = VecDeque::new();
         while batch.entries.len() < max_rows {
             let Some((write, tag)) = self.waiting.pop_front() else {
                 break;
@@ -85,57 +86,59 @@
             if rows.insert(write.key.clone()) {
                 batch.entries.push((write, tag));
             } else {
-                kept.push_back((write, tag));
+                deferred.push_back((write, tag));
             }
         }
-        kept.append(&mut self.waiting);
-        self.waiting = kept;
+        deferred.append(&mut self.waiting);
+        self.waiting = deferred;
     }
 }
 
 impl<T> Batch<T> {
-    /// Number of rows.
+    /// Returns the number of rows.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are no rows.
+    /// Whether the batch has no rows.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// The transaction that writes all rows or none.
+    /// Returns the transaction that writes all rows or none.
     pub fn transaction(&self) -> Transaction {
         let writes = self.entries.iter().map(|(write, _)| write);
         writes.fold(Transaction::default(), |tx, write| write.add_to(tx))
     }
 
-    /// Takes the table service's answer. If some conditions did not hold, the other writes come back as a batch to send
-    /// again.
+    /// Maps the table service's answer to one result per write. If some conditions did not hold, the
+    /// remaining writes are returned as a batch to send again.
     pub fn handle_answer(
         self,
         answer: Result<Committed, Report<PlatformError>>,
         is_alive: impl Fn(&ClaimRow) -> bool,
     ) -> (Vec<(T, WriteResult)>, Option<Batch<T>>) {
         match answer {
-            Ok(Committed::Applied { version }) => (self.all(&WriteResult::Applied(version)), None),
-            Ok(Committed::Refused { rows, keys }) => self.split(&rows, &keys, is_alive),
-            Err(e) if e.current_context().is_without_effect() => (self.all(&WriteResult::NotSent), None),
-            Err(_) => (self.all(&WriteResult::Lost), None),
+            Ok(Committed::Applied { version }) => (self.with_result(&WriteResult::Applied(version)), None),
+            Ok(Committed::Refused { rows, keys }) => self.split_refused(&rows, &keys, is_alive),
+            Err(e) if e.current_context().is_without_effect() => {
+                (self.with_result(&WriteResult::NotSent), None)
+            }
+            Err(_) => (self.with_result(&WriteResult::Lost), None),
         }
     }
 
-    /// Gives the batch up before it is sent.
-    pub(crate) fn not_sent(self) -> Vec<(T, WriteResult)> {
-        self.all(&WriteResult::NotSent)
+    /// Cancels the batch before it is sent.
+    pub(crate) fn cancel(self) -> Vec<(T, WriteResult)> {
+        self.with_result(&WriteResult::NotSent)
     }
 
-    fn all(self, result: &WriteResult) -> Vec<(T, WriteResult)> {
+    fn with_result(self, result: &WriteResult) -> Vec<(T, WriteResult)> {
         let tags = self.entries.into_iter().map(|(_, tag)| tag);
         tags.map(|tag| (tag, result.clone())).collect()
     }
 
-    fn split(
+    fn split_refused(
         self,
         rows: &[Row],
         keys: &[RowKey],
@@ -146,19 +149,19 @@
             .into_iter()
             .partition(|(write, _)| keys.contains(&write.key));
         if refused.is_empty() {
-            // An answer that names none of the rows says nothing about them.
-            return (Batch { entries }.all(&WriteResult::Lost), None);
+            // The refusal lists none of these rows, so their state is unknown.
+            return (Batch { entries }.with_result(&WriteResult::Lost), None);
         }
         let results = refused.into_iter().map(|(write, tag)| {
             let row = rows.iter().find(|row| row.key == write.key);
-            (tag, refusal(row, &is_alive))
+            (tag, refused_result(row, &is_alive))
         });
         let rest = (!entries.is_empty()).then_some(Batch { entries });
         (results.collect(), rest)
     }
 }
 
-fn refusal(row: Option<&Row>, is_alive: impl Fn(&ClaimRow) -> bool) -> WriteResult {
+fn refused_result(row: Option<&Row>, is_alive: impl Fn(&ClaimRow) -> bool) -> WriteResult {
     match row.map(|row| StoredClaim::parse(row, is_alive)) {
         None => WriteResult::Refused(None),
         Some(Ok(found)) => WriteResult::Refused(Some(found)),
--- a/components/ledger/src/breaker.rs
+++ b/components/ledger/src/breaker.rs
@@ -2,8 +2,8 @@
 
 use utils::Monotonic;
 
-/// Circuit breaker for the table service: opens with the first failure, lets only probes through, closes with the first
-/// success.
+/// Circuit breaker for calls to the table service. It opens at the first failure, allows only probes while
+/// open and closes at the first success.
 ///
 /// ```
 /// use std::time::Duration;
@@ -18,14 +18,14 @@
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Breaker {
-    /// When the next probe is due; `None` while closed.
+    /// Time at which the next probe is due; `None` while closed.
     probe_at: Option<Monotonic>,
-    /// Mean time between two probes.
+    /// Mean interval between probes.
     interval: Duration,
 }
 
 impl Breaker {
-    /// A closed breaker.
+    /// Creates a closed breaker.
     pub fn new(interval: Duration) -> Self {
         Self {
             probe_at: None,
@@ -33,23 +33,24 @@
         }
     }
 
-    /// Whether calls may pass.
+    /// Whether calls are allowed.
     pub fn is_closed(&self) -> bool {
         self.probe_at.is_none()
     }
 
-    /// When the next probe is due; `None` while closed.
+    /// Returns the time at which the next probe is due; `None` while closed.
     pub fn probe_at(&self) -> Option<Monotonic> {
         self.probe_at
     }
 
-    /// A call or a probe failed. `jitter` from 0 to 1 spreads the probes of different hosts.
+    /// Records a failed call or probe, and schedules the next probe after 0.5 to 1.5 intervals. `jitter` is
+    /// in the range 0 to 1 and spreads the probes of different hosts.
     pub fn record_failure(&mut self, now: Monotonic, jitter: f64) {
         let wait = self.interval.mul_f64(0.5 + jitter.clamp(0.0, 1.0));
         self.probe_at = Some(now + wait);
     }
 
-    /// A call or a probe was answered.
+    /// Records an answered call or probe.
     pub fn record_success(&mut self) {
         self.probe_at = None;
     }
--- a/components/ledger/src/handle.rs
+++ b/components/ledger/src/handle.rs
@@ -8,131 +8,133 @@
 use smol::future::or;
 use utils::{Digest, Monotonic, TargetId};
 
-use crate::writer::{Op, Shared};
+use crate::writer::{Shared, WriteRequest};
 use crate::{
     Attempt, AttemptId, CallKey, ClaimRow, ClaimState, Effect, Input, Job, LedgerStats, RecordedReply,
     RefusedReason, RowWrite, Step, StoredClaim, Verdict, WriteResult,
 };
 
-/// A caller's try at a call that must not be repeated.
+/// Description of one attempt of a caller at a call that must not be repeated.
 #[derive(Debug, Clone)]
 pub struct NewCall {
-    /// What the call is known by.
+    /// Identity of the call.
     pub key: CallKey,
-    /// Identifier of this try, unique over all hosts.
+    /// Identifier of this attempt, unique across all hosts.
     pub attempt: AttemptId,
-    /// Target that the call will go to.
+    /// Target that the call will be sent to.
     pub target: TargetId,
     /// Digest of the call's body.
     pub body: Digest,
 }
 
-/// What became of a try to claim a call.
+/// Result of [`LedgerHandle::begin`].
 #[must_use]
 pub enum BeginResult {
     /// The call is claimed and may be sent.
     Held(HeldClaim),
-    /// An earlier try may have run; its target is to be asked.
+    /// An earlier attempt may have run; its target has to be queried.
     QueryTarget(OutcomeQuery),
-    /// The caller is to be told.
+    /// The attempt ended with a verdict for the caller.
     Decided(Verdict),
 }
 
-/// What became of a call that was sent.
+/// How a call that was sent ended.
 #[must_use]
 pub enum CallEnd {
-    /// The target's whole answer came.
+    /// The target's whole answer was received.
     Answered(RecordedReply),
-    /// Nothing was sent after all, or the target shows that it did not run the call.
+    /// Nothing was sent, or the target proves that it did not run the call.
     NotRun,
-    /// The result is not known.
+    /// The result is unknown.
     Lost,
 }
 
-/// What follows from the end of a call.
+/// Result of [`SentCall::end`].
 #[must_use]
 pub enum EndResult {
-    /// The caller is to be told.
+    /// The attempt ended with a verdict for the caller.
     Decided(Verdict),
-    /// The target is to be asked what it did.
+    /// The result is unknown; the target has to be queried.
     QueryTarget(OutcomeQuery),
 }
 
-/// Claims calls, for the traffic threads. Cheap to clone.
+/// Handle with which the traffic threads claim calls and record their results. Cheap to clone.
 #[derive(Clone)]
 pub struct LedgerHandle {
-    /// Shared with the writer.
+    /// State shared with the writer.
     shared: Arc<Shared>,
-    /// Writes for the writer.
-    tx: Sender<Op>,
+    /// Channel to the writer.
+    tx: Sender<WriteRequest>,
 }
 
-/// A claim under which nothing was sent yet. Dropping it gives the claim up.
+/// A held claim under which nothing was sent yet. Dropping it abandons the claim.
 #[must_use]
-pub struct HeldClaim(Box<OpenTry>);
+pub struct HeldClaim(Box<PendingAttempt>);
 
-/// A call that was sent. Dropping it records that the result is not known.
+/// A call that was sent. Dropping it records the result as unknown.
 #[must_use]
-pub struct SentCall(Box<OpenTry>);
+pub struct SentCall(Box<PendingAttempt>);
 
-/// A call whose result its target may know.
+/// Query to a target for the result of a call.
 #[must_use]
 pub struct OutcomeQuery {
-    /// The target.
+    /// Target to query.
     pub target: TargetId,
-    /// The try.
-    call: Box<OpenTry>,
+    /// Attempt that waits for the result.
+    attempt: Box<PendingAttempt>,
 }
 
-/// A try with its place in the backlog; cleans up when it is dropped.
-struct OpenTry {
-    /// The try.
-    call: Attempt,
-    /// Access to the writer.
+/// An attempt in flight, counted in the backlog. Dropping it ends the attempt and releases its slot in the
+/// backlog.
+struct PendingAttempt {
+    /// State of the attempt.
+    attempt: Attempt,
+    /// Handle to the writer.
     ledger: LedgerHandle,
-    /// Whether a job took over the place in the backlog.
+    /// Whether a job owns the slot in the backlog.
     is_handed_over: bool,
-    /// Tells when that job is done.
+    /// Receives a message when that job is done.
     written: Option<Receiver<()>>,
 }
 
 impl LedgerHandle {
-    pub(crate) fn new(shared: Arc<Shared>, tx: Sender<Op>) -> Self {
+    pub(crate) fn new(shared: Arc<Shared>, tx: Sender<WriteRequest>) -> Self {
         Self { shared, tx }
     }
 
-    /// Counters.
+    /// Returns the counters of the ledger.
     pub fn stats(&self) -> &LedgerStats {
         &self.shared.stats
     }
 
-    /// Ends the writer once every settlement is written; new calls are refused.
+    /// Closes the channel to the writer; new calls are refused. The writer stops once every settlement in the
+    /// channel is written.
     pub fn close(&self) {
         self.tx.close();
     }
 
-    /// Claims a call. Nothing may be sent before the claim is held.
+    /// Claims a call. The call must not be sent unless the result is [`BeginResult::Held`].
     pub async fn begin(&self, call: NewCall) -> BeginResult {
-        if self.shared.is_open() {
+        if self.shared.is_unavailable() {
             return BeginResult::Decided(Verdict::Refused(RefusedReason::StoreUnavailable));
         }
-        let Some(mut open) = self.open(&call) else {
+        let Some(mut pending) = self.reserve(&call) else {
             return BeginResult::Decided(Verdict::Refused(RefusedReason::BacklogFull));
         };
         let mut input = Input::Start;
         loop {
-            input = match open.step(input) {
+            input = match pending.step(input) {
                 Some(Effect::Insert(write)) => self.insert(write).await,
                 Some(Effect::Read(key)) => self.read_back(key).await,
-                Some(Effect::Hold) => return BeginResult::Held(HeldClaim(Box::new(open))),
+                Some(Effect::Hold) => return BeginResult::Held(HeldClaim(Box::new(pending))),
                 Some(Effect::QueryTarget(target)) => {
                     return BeginResult::QueryTarget(OutcomeQuery {
                         target,
-                        call: Box::new(open),
+                        attempt: Box::new(pending),
                     });
                 }
                 Some(Effect::Respond(verdict)) => return BeginResult::Decided(verdict),
-                // The chart allows no other effect before a claim is held.
+                // Unreachable with a valid chart: it allows no other effect before a claim is held.
                 Some(Effect::Dispatch) | None => {
                     return BeginResult::Decided(Verdict::Refused(RefusedReason::StoreUnavailable));
                 }
@@ -140,9 +142,10 @@
         }
     }
 
-    /// Takes a place in the backlog, so that a settlement always finds room.
-    fn open(&self, call: &NewCall) -> Option<OpenTry> {
-        let limit = self.shared.settings.backlog;
+    /// Reserves a slot in the backlog, which guarantees room in the channel for the settlement. Returns
+    /// `None` if the backlog is full.
+    fn reserve(&self, call: &NewCall) -> Option<PendingAttempt> {
+        let limit = self.shared.settings.max_backlog;
         let backlog = &self.shared.stats.backlog;
         if backlog.fetch_add(1, Ordering::Relaxed) >= limit {
             backlog.fetch_sub(1, Ordering::Relaxed);
@@ -153,12 +156,12 @@
             holder: self.shared.holder.clone(),
             target: call.target.clone(),
             body: call.body,
-            valid_ms: self.shared.settings.claim_valid.as_millis() as u64,
+            valid_ms: self.shared.settings.claim_validity.as_millis() as u64,
             claimed_at_ms: self.wall_ms(),
             state: ClaimState::Claimed,
         };
-        Some(OpenTry {
-            call: self.shared.protocol.start(call.key.row_key(), row),
+        Some(PendingAttempt {
+            attempt: self.shared.protocol.start(call.key.row_key(), row),
             ledger: self.clone(),
             is_handed_over: false,
             written: None,
@@ -167,7 +170,12 @@
 
     async fn insert(&self, write: RowWrite) -> Input {
         let (tx, rx) = async_channel::bounded(1);
-        if self.tx.send(Op::Insert(Box::new(write), tx)).await.is_err() {
+        if self
+            .tx
+            .send(WriteRequest::Insert(Box::new(write), tx))
+            .await
+            .is_err()
+        {
             return Input::StoreFailed;
         }
         match rx.recv().await {
@@ -182,7 +190,7 @@
         let shared = &self.shared;
         shared.stats.reads.fetch_add(1, Ordering::Relaxed);
         let read = shared.table.read(vec![key]);
-        let rows = shared.wait_for(read, shared.settings.read_back_timeout).await;
+        let rows = shared.with_timeout(read, shared.settings.read_back_timeout).await;
         match rows.ok().and_then(|rows| rows.into_iter().next()) {
             Some(Some(row)) => match StoredClaim::parse(&row, &*shared.is_alive) {
                 Ok(found) => Input::Read(Some(found)),
@@ -194,8 +202,8 @@
     }
 
     fn wall_ms(&self) -> u64 {
-        let since = self.shared.clock.wall().duration_since(UNIX_EPOCH);
-        since.unwrap_or_default().as_millis() as u64
+        let since_epoch = self.shared.clock.wall().duration_since(UNIX_EPOCH);
+        since_epoch.unwrap_or_default().as_millis() as u64
     }
 
     fn now(&self) -> Monotonic {
@@ -204,10 +212,13 @@
 }
 
 impl HeldClaim {
-    /// To be called right before the first byte is sent; the call may be sent only if this succeeds.
+    /// Checks the claim's deadline. Call it right before the first byte is sent, and send the call only if it
+    /// succeeds.
     ///
     /// # Errors
-    /// The verdict for the caller if the claim is no longer valid, for example after the process was paused.
+    /// Returns the verdict for the caller if the claim has lapsed or would lapse within
+    /// [`LedgerSettings::send_margin`](crate::LedgerSettings::send_margin), for example after the process was
+    /// paused.
     pub fn dispatch(mut self) -> Result<SentCall, Verdict> {
         let margin = self.0.ledger.shared.settings.send_margin;
         let first_byte = self.0.ledger.now() + margin;
@@ -220,7 +231,7 @@
 }
 
 impl SentCall {
-    /// Records what became of the call.
+    /// Records the result of the call.
     pub async fn end(mut self, end: CallEnd) -> EndResult {
         let input = match end {
             CallEnd::Answered(reply) => Input::Answered(reply),
@@ -232,21 +243,23 @@
                 self.0.wait_until_written().await;
                 EndResult::Decided(verdict)
             }
-            Some(Effect::QueryTarget(target)) => {
-                EndResult::QueryTarget(OutcomeQuery { target, call: self.0 })
-            }
+            Some(Effect::QueryTarget(target)) => EndResult::QueryTarget(OutcomeQuery {
+                target,
+                attempt: self.0,
+            }),
             _ => EndResult::Decided(Verdict::Unknown),
         }
     }
 }
 
 impl OutcomeQuery {
-    /// Takes the target's answer: the reply if it says that the call ran, `None` if it does not or can't say.
+    /// Records the target's answer to the query: the reply if the target reports that the call ran, else
+    /// `None`.
     pub async fn resolve(mut self, reply: Option<RecordedReply>) -> Verdict {
         let input = reply.map_or(Input::TargetInconclusive, Input::TargetRan);
-        match self.call.step(input) {
+        match self.attempt.step(input) {
             Some(Effect::Respond(verdict)) => {
-                self.call.wait_until_written().await;
+                self.attempt.wait_until_written().await;
                 verdict
             }
             _ => Verdict::Unknown,
@@ -254,7 +267,7 @@
     }
 }
 
-impl OpenTry {
+impl PendingAttempt {
     fn step(&mut self, input: Input) -> Option<Effect> {
         let now = self.ledger.now();
         self.step_at(input, now)
@@ -265,7 +278,7 @@
             .ledger
             .shared
             .protocol
-            .step(&mut self.call, input, now)
+            .step(&mut self.attempt, input, now)
             .ok()?;
         self.hand_over(job);
         Some(effect)
@@ -275,36 +288,41 @@
         let Some(job) = job else {
             return;
         };
-        // The channel has room for the whole backlog; it is closed only after all handles are gone.
+        // The channel has room for the whole backlog, so sending fails only once the channel is closed.
         let (tx, rx) = async_channel::bounded(1);
-        self.is_handed_over = self.ledger.tx.try_send(Op::Job(Box::new(job), tx)).is_ok();
+        self.is_handed_over = self
+            .ledger
+            .tx
+            .try_send(WriteRequest::Job(Box::new(job), tx))
+            .is_ok();
         self.written = Some(rx).filter(|_| self.is_handed_over);
     }
 
-    /// Waits for a little while until the result is recorded, so that other hosts replay it.
+    /// Waits until the settlement is written, at most for the settle timeout. Other hosts can replay the
+    /// answer after that.
     async fn wait_until_written(&mut self) {
         let shared = &self.ledger.shared;
-        let Some(written) = self.written.take().filter(|_| !shared.is_open()) else {
+        let Some(written) = self.written.take().filter(|_| !shared.is_unavailable()) else {
             return;
         };
-        let late = async {
-            Timer::after(shared.settings.settle_wait).await;
+        let expired = async {
+            Timer::after(shared.settings.settle_timeout).await;
         };
         let done = async {
             let _ = written.recv().await;
         };
-        or(done, late).await;
+        or(done, expired).await;
     }
 }
 
-impl Drop for OpenTry {
+impl Drop for PendingAttempt {
     fn drop(&mut self) {
         if !self.is_handed_over {
             let job = self
                 .ledger
                 .shared
                 .protocol
-                .abort(&mut self.call, self.ledger.now());
+                .abort(&mut self.attempt, self.ledger.now());
             self.hand_over(job);
         }
         if !self.is_handed_over {
--- a/components/ledger/src/job.rs
+++ b/components/ledger/src/job.rs
@@ -2,30 +2,32 @@
 
 use crate::{ClaimRow, ClaimState, RowWrite, StoredClaim, WriteResult};
 
-/// A background write that is repeated until it took effect or is needless.
+/// Background write that is retried until it has taken effect or a newer row makes it obsolete.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Job {
-    /// What is written next.
+    /// The next write to send.
     write: RowWrite,
 }
 
-/// What follows from a result.
+/// Next step of a job after a write result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum JobStep {
-    /// Nothing is left to do.
+    /// The job is finished.
     Done,
-    /// [`Job::write`] is to be made again.
+    /// [`Job::write`] has to be sent again.
     Retry,
 }
 
 impl Job {
-    /// Gives up a claim that nothing was sent under. A row stays, so that an insert that is still under way is refused.
+    /// Creates a job that marks a claim as abandoned, under which no call was sent. The row is not deleted,
+    /// because its presence makes the table service refuse an insert of the same claim that is still in
+    /// flight.
     pub fn abandon(key: &RowKey, claim: &ClaimRow, held: Option<RowVersion>) -> Self {
         let expect = held.map_or(Expect::Absent, Expect::Version);
         Self::new(key, claim.with_state(ClaimState::Abandoned), expect)
     }
 
-    /// Records a call's result.
+    /// Creates a job that records the result of a call.
     pub fn settle(key: &RowKey, row: ClaimRow, version: RowVersion) -> Self {
         Self::new(key, row, Expect::Version(version))
     }
@@ -37,30 +39,31 @@
         }
     }
 
-    /// The write to make.
+    /// Returns the write to send.
     pub fn write(&self) -> &RowWrite {
         &self.write
     }
 
-    /// Takes the result of the write.
+    /// Updates the job with the result of its write.
     pub fn step(&mut self, result: &WriteResult) -> JobStep {
         match result {
             WriteResult::Applied(_) | WriteResult::Malformed => JobStep::Done,
             WriteResult::Lost | WriteResult::NotSent => JobStep::Retry,
-            WriteResult::Refused(None) => self.expect(Expect::Absent),
-            WriteResult::Refused(Some(found)) if self.replaces(found) => {
-                self.expect(Expect::Version(found.version))
+            WriteResult::Refused(None) => self.retry_with(Expect::Absent),
+            WriteResult::Refused(Some(found)) if self.supersedes(found) => {
+                self.retry_with(Expect::Version(found.version))
             }
             WriteResult::Refused(Some(_)) => JobStep::Done,
         }
     }
 
-    /// Whether the found row is older news than the write.
-    fn replaces(&self, found: &StoredClaim) -> bool {
+    /// Whether the write is a later state of the call than the stored row.
+    fn supersedes(&self, found: &StoredClaim) -> bool {
         let is_own = found.row.attempt == self.write.row.attempt;
         match (&self.write.row.state, &found.row.state) {
             (ClaimState::Abandoned, ClaimState::Claimed) => is_own,
-            // A new version of the row stops an own insert that expects the old one.
+            // A new row version makes the table service refuse an insert of this attempt that expects the old
+            // version.
             (ClaimState::Abandoned, ClaimState::Abandoned) => !is_own,
             (ClaimState::Settled(_), ClaimState::Claimed | ClaimState::Unknown) => is_own,
             (ClaimState::Unknown, ClaimState::Claimed) => is_own,
@@ -68,7 +71,7 @@
         }
     }
 
-    fn expect(&mut self, expect: Expect) -> JobStep {
+    fn retry_with(&mut self, expect: Expect) -> JobStep {
         self.write.expect = expect;
         JobStep::Retry
     }
--- a/components/ledger/src/lib.rs
+++ b/components/ledger/src/lib.rs
@@ -1,4 +1,5 @@
-//! At-most-once records for calls that must not be repeated: a claim before anything is sent, a settlement after.
+//! At-most-once execution of calls that must not be repeated. Before a call is sent, an entry host writes a
+//! claim to the table service; after the call it writes the result (the settlement).
 
 mod batch;
 mod breaker;
--- a/components/ledger/src/protocol.rs
+++ b/components/ledger/src/protocol.rs
@@ -8,90 +8,91 @@
     ClaimRow, ClaimState, Job, LedgerError, RecordedReply, RefusedReason, RowWrite, StoredClaim, Verdict,
 };
 
-/// Most inserts that one try sends.
+/// Maximum number of inserts per attempt.
 const MAX_INSERTS: u8 = 3;
 
-/// One caller's try at a call; changed only by [`Protocol::step`].
+/// State of one attempt at a call; changed only by [`Protocol::step`] and [`Protocol::abort`].
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Attempt {
-    /// State in the chart.
+    /// Current state in the chart.
     state: StateKey,
     /// Key of the call's row.
     key: RowKey,
-    /// The claim that the try inserts.
+    /// Claim that the attempt inserts.
     row: ClaimRow,
-    /// End of the claim; read from the clock before the first insert was sent.
+    /// End of the claim's validity, computed from the time before the first insert; `None` before that
+    /// insert.
     deadline: Option<Monotonic>,
-    /// What the next insert expects of the row.
+    /// Condition of the next insert on the present row.
     expect: Expect,
-    /// Inserts sent.
+    /// Number of inserts sent.
     inserts: u8,
-    /// Whether an insert may still take effect.
-    is_in_doubt: bool,
-    /// Version of the own claim, once it is held.
-    held: Option<RowVersion>,
-    /// The claim of another try, when its target is asked.
-    other: Option<StoredClaim>,
+    /// Whether the answer to an insert was lost, so that the insert may still take effect.
+    has_uncertain_insert: bool,
+    /// Row version of the attempt's claim; `None` until the claim is held.
+    held_version: Option<RowVersion>,
+    /// Claim of another attempt whose target is queried for the outcome.
+    other_claim: Option<StoredClaim>,
 }
 
-/// What happened.
+/// Event that advances an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Input {
-    /// A target is chosen; the call may be claimed.
+    /// A target was chosen; the attempt starts to claim the call.
     Start,
-    /// The write took effect.
+    /// The insert took effect; holds the new row version.
     Applied(RowVersion),
-    /// The write had no effect because of this row, or because there is none.
+    /// The insert's condition did not hold; holds the present row, if there is one.
     Refused(Option<StoredClaim>),
-    /// The answer is lost; the write may take effect, also later.
+    /// No answer to the insert was received; it may have taken effect or may still do so later.
     Lost,
-    /// The write was certainly not sent, or the read failed.
+    /// The insert was not sent, or the read failed.
     StoreFailed,
-    /// The row was read.
+    /// The row was read; `None` if it does not exist.
     Read(Option<StoredClaim>),
-    /// The first byte is about to be sent.
+    /// The first byte of the call is about to be sent.
     Send,
-    /// The caller is gone or the target can't be used; nothing was sent.
+    /// The caller disconnected or the target is not usable; nothing was sent.
     GiveUp,
-    /// The target's whole answer came.
+    /// The target's whole answer was received.
     Answered(RecordedReply),
-    /// The call was not sent after all, or the target shows that it did not run it.
+    /// The call was not sent, or the target proves that it did not run it.
     NotRun,
-    /// What the target did is not known.
+    /// The call was sent and its result is unknown.
     AnswerLost,
-    /// The target says that the call ran, with this answer.
+    /// The queried target reports that the call ran; holds its answer.
     TargetRan(RecordedReply),
-    /// The target can't say that the call ran.
+    /// The query to the target did not establish that the call ran.
     TargetInconclusive,
 }
 
-/// What is to be done next for a try.
+/// Next action for an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Effect {
-    /// Write the row.
+    /// Write the claim's row.
     Insert(RowWrite),
-    /// Read the row.
+    /// Read the call's row.
     Read(RowKey),
-    /// The claim is held; say [`Input::Send`] right before the first byte.
+    /// The claim is held; pass [`Input::Send`] right before the first byte is sent.
     Hold,
     /// Send the call now.
     Dispatch,
-    /// Ask the target that the call went to for the outcome.
+    /// Query the target that the call was sent to for the outcome.
     QueryTarget(TargetId),
-    /// Tell the caller.
+    /// Report the verdict to the caller.
     Respond(Verdict),
 }
 
-/// What follows from an input.
+/// Result of an input.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Step {
-    /// What is to be done next.
+    /// Next action.
     pub effect: Effect,
-    /// A write that is made in the background until it is known to have taken effect or to be needless.
+    /// Background write, retried until it has taken effect or a newer row makes it obsolete.
     pub job: Option<Job>,
 }
 
-/// The rules for calls that must not be repeated, interpreted from the chart.
+/// State machine for calls that must not be repeated, interpreted from the chart of claims.
 ///
 /// ```
 /// use std::time::Duration;
@@ -107,32 +108,32 @@
 ///     claimed_at_ms: 0,
 ///     state: ClaimState::Claimed,
 /// };
-/// let mut call = protocol.start("claim/mill/orders/7", row);
+/// let mut attempt = protocol.start("claim/mill/orders/7", row);
 /// let at = Duration::from_secs;
-/// assert!(matches!(protocol.step(&mut call, Input::Start, at(0))?.effect, Effect::Insert(_)));
-/// assert_eq!(protocol.step(&mut call, Input::Applied(1), at(1))?.effect, Effect::Hold);
-/// // The process was paused for longer than the claim is valid.
-/// let late = protocol.step(&mut call, Input::Send, at(3))?;
+/// assert!(matches!(protocol.step(&mut attempt, Input::Start, at(0))?.effect, Effect::Insert(_)));
+/// assert_eq!(protocol.step(&mut attempt, Input::Applied(1), at(1))?.effect, Effect::Hold);
+/// // The process was paused beyond the claim's validity.
+/// let late = protocol.step(&mut attempt, Input::Send, at(3))?;
 /// assert!(matches!(late.effect, Effect::Respond(_)));
 /// # Ok::<(), error_stack::Report<ledger::LedgerError>>(())
 /// ```
 #[derive(Debug, Clone)]
 pub struct Protocol {
-    /// The chart and its events.
+    /// Chart of claims and the keys of its events.
     chart: ClaimChart,
 }
 
 impl Protocol {
-    /// Reads the chart that is part of the program.
+    /// Loads the chart embedded in the program.
     ///
     /// # Errors
-    /// [`LedgerError::Chart`]
+    /// Returns [`LedgerError::Chart`] if the chart is invalid.
     pub fn load() -> Result<Self, Report<LedgerError>> {
         let chart = ClaimChart::load().change_context(LedgerError::Chart)?;
         Ok(Self { chart })
     }
 
-    /// A new try that will insert `row`.
+    /// Creates an attempt that will insert `row`.
     pub fn start(&self, key: impl Into<RowKey>, row: ClaimRow) -> Attempt {
         Attempt {
             state: self.chart.chart().initial(),
@@ -141,122 +142,130 @@
             deadline: None,
             expect: Expect::Absent,
             inserts: 0,
-            is_in_doubt: false,
-            held: None,
-            other: None,
+            has_uncertain_insert: false,
+            held_version: None,
+            other_claim: None,
         }
     }
 
-    /// What may be told about the try in its present state.
-    pub fn outcome(&self, call: &Attempt) -> Outcome {
-        self.chart.chart().state(call.state).outcome
+    /// Returns the outcome that may be reported in the attempt's current state.
+    pub fn outcome(&self, attempt: &Attempt) -> Outcome {
+        self.chart.chart().state(attempt.state).outcome
     }
 
-    /// Takes an input.
+    /// Advances the attempt with an input.
     ///
     /// # Errors
-    /// [`LedgerError::OutOfOrder`] if the chart does not allow the input now; the try stays as it is.
+    /// Returns [`LedgerError::OutOfOrder`] if the chart does not allow the input in the current state; the
+    /// attempt is unchanged then.
     pub fn step(
         &self,
-        call: &mut Attempt,
+        attempt: &mut Attempt,
         input: Input,
         now: Monotonic,
     ) -> Result<Step, Report<LedgerError>> {
         let events = &self.chart;
         match input {
-            Input::Start => self.start_insert(call, now),
-            Input::Applied(version) => self.hold(call, events.insert_applied, version),
+            Input::Start => self.start_insert(attempt, now),
+            Input::Applied(version) => self.hold(attempt, events.insert_applied, version),
             Input::Refused(None) | Input::Read(None) => {
-                self.insert_again(call, events.absent, Expect::Absent, now)
+                self.insert_again(attempt, events.absent, Expect::Absent, now)
             }
-            Input::Refused(Some(found)) | Input::Read(Some(found)) => self.find(call, found, now),
-            Input::Lost => self.read_back(call),
-            Input::StoreFailed => self.refuse(call, events.store_failed, RefusedReason::StoreUnavailable),
-            Input::Send => self.send(call, now),
-            Input::GiveUp => self.refuse(call, events.give_up, RefusedReason::GaveUp),
-            Input::Answered(reply) => self.settle(call, events.answer, reply),
-            Input::NotRun => self.refuse(call, events.refuse_by_target, RefusedReason::ByTarget),
+            Input::Refused(Some(found)) | Input::Read(Some(found)) => self.handle_row(attempt, found, now),
+            Input::Lost => self.read_back(attempt),
+            Input::StoreFailed => self.refuse(attempt, events.store_failed, RefusedReason::StoreUnavailable),
+            Input::Send => self.send(attempt, now),
+            Input::GiveUp => self.refuse(attempt, events.give_up, RefusedReason::GaveUp),
+            Input::Answered(reply) => self.settle(attempt, events.answer, reply),
+            Input::NotRun => self.refuse(attempt, events.refuse_by_target, RefusedReason::ByTarget),
             Input::AnswerLost => {
-                self.go(call, events.lose)?;
-                Ok(step(Effect::QueryTarget(call.row.target.clone())))
+                self.transition(attempt, events.lose)?;
+                Ok(step(Effect::QueryTarget(attempt.row.target.clone())))
             }
-            Input::TargetRan(reply) => self.settle(call, events.find_ran, reply),
-            Input::TargetInconclusive => self.leave_open(call),
+            Input::TargetRan(reply) => self.settle(attempt, events.find_ran, reply),
+            Input::TargetInconclusive => self.end_unknown(attempt),
         }
     }
 
-    fn go(&self, call: &mut Attempt, event: EventKey) -> Result<(), Report<LedgerError>> {
-        let next = self.chart.chart().next(call.state, event);
-        call.state = next.ok_or_else(|| Report::new(LedgerError::OutOfOrder))?;
+    fn transition(&self, attempt: &mut Attempt, event: EventKey) -> Result<(), Report<LedgerError>> {
+        let next = self.chart.chart().next(attempt.state, event);
+        attempt.state = next.ok_or_else(|| Report::new(LedgerError::OutOfOrder))?;
         Ok(())
     }
 
-    fn start_insert(&self, call: &mut Attempt, now: Monotonic) -> Result<Step, Report<LedgerError>> {
-        self.go(call, self.chart.insert)?;
-        call.deadline = Some(now + call.row.valid_for());
-        Ok(call.insert())
+    fn start_insert(&self, attempt: &mut Attempt, now: Monotonic) -> Result<Step, Report<LedgerError>> {
+        self.transition(attempt, self.chart.insert)?;
+        attempt.deadline = Some(now + attempt.row.valid_for());
+        Ok(attempt.insert())
     }
 
-    /// The deadline stays that of the first insert, which may be the one that took effect.
+    /// Sends another insert. The deadline is not extended, because the first insert may be the one that took
+    /// effect.
     fn insert_again(
         &self,
-        call: &mut Attempt,
+        attempt: &mut Attempt,
         event: EventKey,
         expect: Expect,
         now: Monotonic,
     ) -> Result<Step, Report<LedgerError>> {
-        if call.inserts >= MAX_INSERTS || call.has_lapsed(now) {
-            return self.refuse(call, self.chart.store_failed, RefusedReason::StoreUnavailable);
+        if attempt.inserts >= MAX_INSERTS || attempt.has_lapsed(now) {
+            return self.refuse(attempt, self.chart.store_failed, RefusedReason::StoreUnavailable);
         }
-        self.go(call, event)?;
-        call.expect = expect;
-        Ok(call.insert())
+        self.transition(attempt, event)?;
+        attempt.expect = expect;
+        Ok(attempt.insert())
     }
 
-    fn read_back(&self, call: &mut Attempt) -> Result<Step, Report<LedgerError>> {
-        self.go(call, self.chart.answer_lost)?;
-        call.is_in_doubt = true;
-        Ok(step(Effect::Read(call.key.clone())))
+    fn read_back(&self, attempt: &mut Attempt) -> Result<Step, Report<LedgerError>> {
+        self.transition(attempt, self.chart.answer_lost)?;
+        attempt.has_uncertain_insert = true;
+        Ok(step(Effect::Read(attempt.key.clone())))
     }
 
     fn hold(
         &self,
-        call: &mut Attempt,
+        attempt: &mut Attempt,
         event: EventKey,
         version: RowVersion,
     ) -> Result<Step, Report<LedgerError>> {
-        self.go(call, event)?;
-        call.held = Some(version);
+        self.transition(attempt, event)?;
+        attempt.held_version = Some(version);
         Ok(step(Effect::Hold))
     }
 
-    fn find(
+    fn handle_row(
         &self,
-        call: &mut Attempt,
+        attempt: &mut Attempt,
         found: StoredClaim,
         now: Monotonic,
     ) -> Result<Step, Report<LedgerError>> {
         let events = &self.chart;
         if found.row.state == ClaimState::Abandoned {
-            return self.insert_again(call, events.find_abandoned, Expect::Version(found.version), now);
+            return self.insert_again(
+                attempt,
+                events.find_abandoned,
+                Expect::Version(found.version),
+                now,
+            );
         }
-        if found.row.attempt == call.row.attempt {
-            return self.hold(call, events.find_own, found.version);
+        if found.row.attempt == attempt.row.attempt {
+            return self.hold(attempt, events.find_own, found.version);
         }
-        if found.row.body != call.row.body {
+        if found.row.body != attempt.row.body {
             let reused = Verdict::Refused(RefusedReason::KeyReused);
-            return self.tell(call, events.find_other_body, reused);
+            return self.respond(attempt, events.find_other_body, reused);
         }
         match found.row.state {
-            ClaimState::Settled(reply) => self.tell(call, events.find_settled, Verdict::Reply(reply)),
-            ClaimState::Unknown => self.ask(call, events.find_unknown, found),
-            _ if found.is_holder_alive => self.tell(call, events.find_living, Verdict::InProgress),
-            _ => self.ask(call, events.find_dead, found),
+            ClaimState::Settled(reply) => self.respond(attempt, events.find_settled, Verdict::Reply(reply)),
+            ClaimState::Unknown => self.query_target(attempt, events.find_unknown, found),
+            _ if found.is_holder_alive => self.respond(attempt, events.find_living, Verdict::InProgress),
+            _ => self.query_target(attempt, events.find_dead, found),
         }
     }
 
-    /// Leaves a try whose caller is gone: a claim that was not used is given up, a call that was sent stays unknown.
-    pub fn abort(&self, call: &mut Attempt, now: Monotonic) -> Option<Job> {
+    /// Ends an attempt whose caller disconnected: a claim under which nothing was sent is abandoned, and a
+    /// call that was sent is recorded as unknown. Returns the background write for that, if one is needed.
+    pub fn abort(&self, attempt: &mut Attempt, now: Monotonic) -> Option<Job> {
         let inputs = [
             Input::Lost,
             Input::StoreFailed,
@@ -266,82 +275,82 @@
         ];
         inputs
             .into_iter()
-            .filter_map(|input| self.step(call, input, now).ok())
+            .filter_map(|input| self.step(attempt, input, now).ok())
             .find_map(|step| step.job)
     }
 
-    fn ask(
+    fn query_target(
         &self,
-        call: &mut Attempt,
+        attempt: &mut Attempt,
         event: EventKey,
         found: StoredClaim,
     ) -> Result<Step, Report<LedgerError>> {
-        self.go(call, event)?;
+        self.transition(attempt, event)?;
         let target = found.row.target.clone();
-        call.other = Some(found);
+        attempt.other_claim = Some(found);
         Ok(step(Effect::QueryTarget(target)))
     }
 
-    fn send(&self, call: &mut Attempt, now: Monotonic) -> Result<Step, Report<LedgerError>> {
-        if call.has_lapsed(now) {
-            return self.refuse(call, self.chart.lapse, RefusedReason::Lapsed);
+    fn send(&self, attempt: &mut Attempt, now: Monotonic) -> Result<Step, Report<LedgerError>> {
+        if attempt.has_lapsed(now) {
+            return self.refuse(attempt, self.chart.lapse, RefusedReason::Lapsed);
         }
-        self.go(call, self.chart.dispatch)?;
+        self.transition(attempt, self.chart.dispatch)?;
         Ok(step(Effect::Dispatch))
     }
 
     fn settle(
         &self,
-        call: &mut Attempt,
+        attempt: &mut Attempt,
         event: EventKey,
         reply: RecordedReply,
     ) -> Result<Step, Report<LedgerError>> {
-        let mut next = self.tell(call, event, Verdict::Reply(reply.clone()))?;
-        next.job = call.settlement(ClaimState::Settled(reply));
+        let mut next = self.respond(attempt, event, Verdict::Reply(reply.clone()))?;
+        next.job = attempt.settlement(ClaimState::Settled(reply));
         Ok(next)
     }
 
-    /// Only the holder writes that the result is not known.
-    fn leave_open(&self, call: &mut Attempt) -> Result<Step, Report<LedgerError>> {
-        let mut next = self.tell(call, self.chart.find_open, Verdict::Unknown)?;
-        if call.other.is_none() {
-            next.job = call.settlement(ClaimState::Unknown);
+    /// Ends the attempt with an unknown result. Only the claim's holder records that the result is unknown.
+    fn end_unknown(&self, attempt: &mut Attempt) -> Result<Step, Report<LedgerError>> {
+        let mut next = self.respond(attempt, self.chart.find_open, Verdict::Unknown)?;
+        if attempt.other_claim.is_none() {
+            next.job = attempt.settlement(ClaimState::Unknown);
         }
         Ok(next)
     }
 
-    fn tell(
+    fn respond(
         &self,
-        call: &mut Attempt,
+        attempt: &mut Attempt,
         event: EventKey,
         verdict: Verdict,
     ) -> Result<Step, Report<LedgerError>> {
-        self.go(call, event)?;
-        debug_assert_eq!(self.outcome(call), verdict.outcome());
+        self.transition(attempt, event)?;
+        debug_assert_eq!(self.outcome(attempt), verdict.outcome());
         Ok(step(Effect::Respond(verdict)))
     }
 
     fn refuse(
         &self,
-        call: &mut Attempt,
+        attempt: &mut Attempt,
         event: EventKey,
         reason: RefusedReason,
     ) -> Result<Step, Report<LedgerError>> {
-        let mut next = self.tell(call, event, Verdict::Refused(reason))?;
-        if call.is_in_doubt || call.held.is_some() {
-            next.job = Some(Job::abandon(&call.key, &call.row, call.held));
+        let mut next = self.respond(attempt, event, Verdict::Refused(reason))?;
+        if attempt.has_uncertain_insert || attempt.held_version.is_some() {
+            next.job = Some(Job::abandon(&attempt.key, &attempt.row, attempt.held_version));
         }
         Ok(next)
     }
 }
 
 impl Attempt {
-    /// End of the claim.
+    /// Returns the end of the claim's validity; `None` before the first insert.
     pub fn deadline(&self) -> Option<Monotonic> {
         self.deadline
     }
 
-    /// The claim that the try inserts.
+    /// Returns the claim that the attempt inserts.
     pub fn row(&self) -> &ClaimRow {
         &self.row
     }
@@ -360,10 +369,10 @@
     }
 
     fn settlement(&self, state: ClaimState) -> Option<Job> {
-        match &self.other {
+        match &self.other_claim {
             Some(found) => Some(Job::settle(&self.key, found.row.with_state(state), found.version)),
             None => self
-                .held
+                .held_version
                 .map(|version| Job::settle(&self.key, self.row.with_state(state), version)),
         }
     }
--- a/components/ledger/src/row.rs
+++ b/components/ledger/src/row.rs
@@ -9,19 +9,20 @@
 
 use crate::LedgerError;
 
-/// What a call is known by.
+/// Identity of a call.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct CallKey {
     /// Workspace of the caller.
     pub workspace: WorkspaceId,
-    /// The plain service.
+    /// Service that the call goes to.
     pub service: ServiceId,
     /// Idempotency key that the caller chose.
     pub key: String,
 }
 
 impl CallKey {
-    /// Key of the call's row. Different calls have different rows, whatever letters the names contain.
+    /// Returns the key of the call's row. The hash covers each part with its length, so different calls have
+    /// different rows whatever characters the names contain.
     ///
     /// ```
     /// let key = ledger::CallKey { workspace: "mill".into(), service: "orders".into(), key: "7".into() };
@@ -42,13 +43,13 @@
     }
 }
 
-/// Identifies one try of a caller, unique over all hosts; written as hexadecimal text.
+/// Identifier of one attempt of a caller, unique across all hosts; serialized as hexadecimal text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct AttemptId(pub RequestId);
 
-/// The text is not an [`AttemptId`].
+/// Error of parsing a text as an [`AttemptId`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 #[error("an attempt id is a hexadecimal number of up to 32 digits")]
@@ -83,25 +84,25 @@
     }
 }
 
-/// One run of an entry host.
+/// Entry host and process incarnation that hold a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Holder {
     /// Name of the host.
     pub host: HostId,
-    /// The run.
+    /// Incarnation of the host's process.
     pub incarnation: Incarnation,
 }
 
-/// A service's answer, kept for the caller's next try.
+/// Answer of a service, recorded for replay to later attempts of the caller.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct RecordedReply {
     /// HTTP status.
     pub status: u16,
-    /// Content type of the body.
+    /// Value of the answer's `content-type` header.
     pub content_type: String,
-    /// Body.
+    /// Body of the answer.
     pub body: RecordedBody,
 }
 
@@ -110,14 +111,14 @@
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RecordedBody {
-    /// UTF-8 text.
+    /// Valid UTF-8 text.
     Text(String),
-    /// Other bytes.
+    /// Bytes that are not valid UTF-8.
     Bytes(Vec<u8>),
 }
 
 impl RecordedBody {
-    /// Keeps a body.
+    /// Stores a body as text if it is valid UTF-8, else as bytes.
     ///
     /// ```
     /// let body = ledger::RecordedBody::new(b"granted".to_vec());
@@ -130,7 +131,7 @@
         }
     }
 
-    /// The bytes of the body.
+    /// Returns the bytes of the body.
     pub fn as_bytes(&self) -> &[u8] {
         match self {
             Self::Text(text) => text.as_bytes(),
@@ -139,59 +140,60 @@
     }
 }
 
-/// How far a call got.
+/// State of a call.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimState {
     /// The holder may send the call or has sent it.
     Claimed,
-    /// The holder gave up before anything was sent, and will not send.
+    /// The holder abandoned the claim before it sent anything, and will not send the call.
     Abandoned,
-    /// The call ran; this is its answer.
+    /// The call ran; holds its answer.
     Settled(RecordedReply),
-    /// The call was sent; its result is not known.
+    /// The call was sent; its result is unknown.
     Unknown,
 }
 
-/// Row of a call.
+/// Content of a call's row in the table.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct ClaimRow {
-    /// The try that wrote the row.
+    /// Attempt that claimed the call.
     pub attempt: AttemptId,
-    /// Host of that try.
+    /// Host that handles the attempt.
     pub holder: Holder,
-    /// Target that the call goes to, which can be asked for the outcome.
+    /// Target that the call goes to. Other hosts query it for the outcome.
     pub target: TargetId,
     /// Digest of the call's body.
     pub body: Digest,
-    /// Time from before the insert within which the holder may send the call, in milliseconds.
+    /// Validity of the claim in milliseconds, counted from a time before the insert. The holder must not send
+    /// the call after it.
     pub valid_ms: u64,
-    /// Time of day at which the claim was made, in milliseconds since 1970.
+    /// Wall clock time of the claim, in milliseconds since the Unix epoch.
     pub claimed_at_ms: u64,
-    /// How far the call got.
+    /// State of the call.
     pub state: ClaimState,
 }
 
-/// A row as it was read.
+/// A claim as read from the table.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct StoredClaim {
-    /// Content.
+    /// Content of the row.
     pub row: ClaimRow,
     /// Version of the row.
     pub version: RowVersion,
-    /// Whether the host that holds the claim is still the same run and alive, as far as this host can tell.
+    /// Whether this host sees the claim's holder as alive and in the same incarnation.
     pub is_holder_alive: bool,
 }
 
 impl ClaimRow {
-    /// Time within which the holder may send the call.
+    /// Returns the validity of the claim.
     pub fn valid_for(&self) -> Duration {
         Duration::from_millis(self.valid_ms)
     }
 
-    /// The same claim further on.
+    /// Returns a copy of the claim with another state.
     pub fn with_state(&self, state: ClaimState) -> Self {
         Self {
             state,
@@ -201,10 +203,10 @@
 }
 
 impl StoredClaim {
-    /// Reads a row of the table.
+    /// Parses a row of the table.
     ///
     /// # Errors
-    /// [`LedgerError::Malformed`]
+    /// Returns [`LedgerError::Malformed`] if the row is not a claim.
     pub fn parse(row: &Row, is_alive: impl Fn(&ClaimRow) -> bool) -> Result<Self, Report<LedgerError>> {
         let malformed = || LedgerError::Malformed { key: row.key.clone() };
         let claim = ClaimRow::deserialize(&row.value).change_context_lazy(malformed)?;
@@ -221,9 +223,9 @@
 pub struct RowWrite {
     /// Key of the row.
     pub key: RowKey,
-    /// What the row must be before.
+    /// Condition on the present row.
     pub expect: Expect,
-    /// What is written.
+    /// New content of the row.
     pub row: ClaimRow,
 }
 
--- a/components/ledger/src/settings.rs
+++ b/components/ledger/src/settings.rs
@@ -3,41 +3,43 @@
 /// Settings of the ledger.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LedgerSettings {
-    /// Time from before the insert within which a claim may be used.
-    pub claim_valid: Duration,
-    /// Longest time from the last check of a claim to the first byte, for example to open a connection.
+    /// Validity of a claim, counted from a time before its insert.
+    pub claim_validity: Duration,
+    /// Maximum time from the last check of a claim's deadline to the first byte sent, for example to open a
+    /// connection.
     pub send_margin: Duration,
-    /// Longest wait for one answer of the table service.
+    /// Timeout of a call to the table service.
     pub store_timeout: Duration,
-    /// Longest wait for the row that is read back after a lost answer.
+    /// Timeout of the read that checks whether an insert with a lost answer took effect.
     pub read_back_timeout: Duration,
-    /// Time for which writes are gathered into one transaction.
+    /// Time for which writes are collected into one transaction.
     pub commit_window: Duration,
-    /// Longest time for which an answer waits until it is recorded.
-    pub settle_wait: Duration,
-    /// Most rows in one transaction.
-    pub batch_rows: usize,
-    /// Most calls whose settlement is not written yet; more are refused.
-    pub backlog: usize,
-    /// Mean time between two probes of a table service that is out of reach.
+    /// Maximum delay of an answer to the caller while its settlement is being written.
+    pub settle_timeout: Duration,
+    /// Maximum number of rows in a transaction.
+    pub max_batch_rows: usize,
+    /// Maximum number of attempts in flight and unwritten settlements; further attempts are refused.
+    pub max_backlog: usize,
+    /// Mean interval between probes of an unavailable table service.
     pub probe_interval: Duration,
-    /// Longest wait of the background writes after the table service is back; hosts wait a random part.
-    pub recovery_spread: Duration,
+    /// Maximum delay of background writes after the table service recovers. Each host waits a random part of
+    /// it, which spreads the load.
+    pub max_recovery_delay: Duration,
 }
 
 impl Default for LedgerSettings {
     fn default() -> Self {
         Self {
-            claim_valid: Duration::from_secs(2),
+            claim_validity: Duration::from_secs(2),
             send_margin: Duration::from_millis(500),
             store_timeout: Duration::from_millis(500),
             read_back_timeout: Duration::from_millis(40),
             commit_window: Duration::from_millis(3),
-            settle_wait: Duration::from_millis(40),
-            batch_rows: 64,
-            backlog: 10_000,
+            settle_timeout: Duration::from_millis(40),
+            max_batch_rows: 64,
+            max_backlog: 10_000,
             probe_interval: Duration::from_millis(250),
-            recovery_spread: Duration::from_secs(2),
+            max_recovery_delay: Duration::from_secs(2),
         }
     }
 }
--- a/components/ledger/src/verdict.rs
+++ b/components/ledger/src/verdict.rs
@@ -2,38 +2,38 @@
 
 use crate::RecordedReply;
 
-/// What the caller of a try is told.
+/// Result of an attempt, as reported to the caller.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Verdict {
-    /// The call ran; this is its answer.
+    /// The call ran; holds the recorded answer.
     Reply(RecordedReply),
-    /// This try was not sent, or the target shows that it did not run it.
+    /// This attempt was not sent, or the target proves that it did not run it.
     Refused(RefusedReason),
-    /// Another try of the same call is under way.
+    /// Another attempt at the same call is in flight.
     InProgress,
-    /// The call may have run and its result is not known.
+    /// The call may have run; its result is unknown.
     Unknown,
 }
 
-/// Why a try was not run.
+/// Why an attempt was not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RefusedReason {
-    /// The table service is out of reach.
+    /// The table service is unavailable.
     StoreUnavailable,
-    /// Too many settlements wait to be written.
+    /// The backlog of unwritten settlements is full.
     BacklogFull,
-    /// The key was used with another body.
+    /// The idempotency key was used with another body.
     KeyReused,
-    /// The deadline of the claim passed before the call could be sent.
+    /// The claim's deadline passed before the call was sent.
     Lapsed,
-    /// The target could not be reached or refused the call.
+    /// The target was unreachable or refused the call.
     ByTarget,
-    /// The entry host gave up before it sent anything.
+    /// The entry host abandoned the attempt before it sent anything.
     GaveUp,
 }
 
 impl RefusedReason {
-    /// The problem that a caller gets.
+    /// Returns the problem reported to the caller.
     pub fn problem(self) -> ProblemKind {
         match self {
             Self::StoreUnavailable => ProblemKind::StoreUnavailable,
@@ -47,7 +47,7 @@
 }
 
 impl Verdict {
-    /// What is known about whether the call ran.
+    /// Returns what is known about whether the call ran.
     ///
     /// ```
     /// use ledger::{RefusedReason, Verdict};
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The problem that the caller gets; `None` for an answer.
+    /// Returns the problem reported to the caller; `None` for a recorded answer.
     pub fn problem(&self) -> Option<ProblemKind> {
         match self {
             Self::Reply(_) => None,
--- a/components/ledger/src/writer.rs
+++ b/components/ledger/src/writer.rs
@@ -17,128 +17,132 @@
     RowWrite, WriteResult,
 };
 
-/// Most writes of one try that are in the channel at once.
-const OPS_PER_TRY: usize = 2;
-/// Row that probes read; it need not exist.
+/// Maximum number of writes of one attempt in the channel.
+const WRITES_PER_ATTEMPT: usize = 2;
+/// Key of the row that probes read; the row need not exist.
 const PROBE_ROW: &str = "claim";
 
-/// Tells whether the run of the host that holds a claim is alive.
+/// Returns whether the holder of a claim is alive in the same incarnation.
 pub(crate) type IsAlive = Arc<dyn Fn(&ClaimRow) -> bool + Send + Sync>;
 
-/// An answer of the table service.
+/// Answer of the table service.
 type PlatformResult<T> = Result<T, Report<PlatformError>>;
 
-/// A write for the writer.
-pub(crate) enum Op {
-    /// A try's insert; the result goes back.
+/// Write submitted to the writer.
+pub(crate) enum WriteRequest {
+    /// Insert of an attempt, and the channel for its result.
     Insert(Box<RowWrite>, Sender<WriteResult>),
-    /// A background write; the sender is told when it is made.
+    /// Background write, and the channel that signals its completion.
     Job(Box<Job>, Sender<()>),
 }
 
-/// Whose a write is.
+/// Receiver of a write's result.
 enum Tag {
-    /// A try's.
+    /// The attempt that waits for an insert.
     Insert(Sender<WriteResult>),
-    /// A background write's.
+    /// The job, and the channel that signals its completion.
     Job(Box<Job>, Sender<()>),
 }
 
 /// Counters of the ledger.
 #[derive(Debug, Default)]
 pub struct LedgerStats {
-    /// Transactions sent.
+    /// Number of transactions sent.
     pub transactions: AtomicU64,
-    /// Rows in them.
+    /// Number of rows in those transactions.
     pub rows: AtomicU64,
-    /// Rows read back.
+    /// Number of rows read back after a lost answer.
     pub reads: AtomicU64,
-    /// Calls whose settlement is not written yet, and claims under way.
+    /// Number of attempts in flight and of unwritten settlements.
     pub backlog: AtomicUsize,
 }
 
-/// What the writer and the handles share.
+/// State shared by the writer and the handles.
 pub(crate) struct Shared {
     /// The table service.
     pub(crate) table: Arc<dyn TableService>,
-    /// Time.
+    /// Source of time.
     pub(crate) clock: Arc<dyn Clock>,
-    /// Settings.
+    /// Settings of the ledger.
     pub(crate) settings: LedgerSettings,
-    /// The rules.
+    /// State machine of attempts.
     pub(crate) protocol: Protocol,
-    /// This run of this host.
+    /// This host and its incarnation.
     pub(crate) holder: Holder,
-    /// Whether the run of another host is alive.
+    /// Returns whether a claim's holder is alive.
     pub(crate) is_alive: IsAlive,
-    /// Whether the table service is out of reach.
-    pub(crate) is_open: AtomicBool,
-    /// Wakes the probes.
-    pub(crate) trouble: Sender<()>,
-    /// Counters.
+    /// Whether the table service is considered unavailable.
+    pub(crate) is_unavailable: AtomicBool,
+    /// Channel that wakes the probe loop.
+    pub(crate) wake_probes: Sender<()>,
+    /// Counters of the ledger.
     pub(crate) stats: LedgerStats,
-    /// Log.
+    /// Logger of the writer and the probe loop.
     log: Logger,
 }
 
 impl Shared {
-    /// Notes that a call to the table service failed.
-    pub(crate) fn note_failure(&self) {
-        self.is_open.store(true, Ordering::Release);
-        // A full channel means that the probes are awake already.
-        let _ = self.trouble.try_send(());
+    /// Records a failed call to the table service: marks the service unavailable and wakes the probe loop.
+    pub(crate) fn record_failure(&self) {
+        self.is_unavailable.store(true, Ordering::Release);
+        // If the channel is full, the probe loop is already awake or has a wake-up pending.
+        let _ = self.wake_probes.try_send(());
     }
 
-    /// Waits for an answer of the table service, at most for its timeout.
-    pub(crate) async fn wait<T>(&self, call: BoxFuture<'_, PlatformResult<T>>) -> PlatformResult<T> {
-        self.wait_for(call, self.settings.store_timeout).await
+    /// Waits for an answer of the table service, at most for the configured timeout.
+    pub(crate) async fn with_store_timeout<T>(
+        &self,
+        call: BoxFuture<'_, PlatformResult<T>>,
+    ) -> PlatformResult<T> {
+        self.with_timeout(call, self.settings.store_timeout).await
     }
 
-    /// Waits for an answer of the table service, at most for `longest`.
-    pub(crate) async fn wait_for<T>(
+    /// Waits for an answer of the table service, at most for `timeout`.
+    pub(crate) async fn with_timeout<T>(
         &self,
         call: BoxFuture<'_, PlatformResult<T>>,
-        longest: Duration,
+        timeout: Duration,
     ) -> PlatformResult<T> {
-        let late = async {
-            Timer::after(longest).await;
+        let expired = async {
+            Timer::after(timeout).await;
             Err(Report::new(PlatformError::AnswerLost))
         };
-        let answer = or(call, late).await;
+        let answer = or(call, expired).await;
         if answer.is_err() {
-            self.note_failure();
+            self.record_failure();
         }
         answer
     }
 
-    /// Whether the table service is out of reach.
-    pub(crate) fn is_open(&self) -> bool {
-        self.is_open.load(Ordering::Acquire)
+    /// Whether the table service is considered unavailable.
+    pub(crate) fn is_unavailable(&self) -> bool {
+        self.is_unavailable.load(Ordering::Acquire)
     }
 }
 
-/// Writes claims and settlements to the table service; one for each host.
+/// Writes claims and settlements to the table service. Each host runs one writer.
 pub struct LedgerWriter {
-    /// Shared with the handles.
+    /// State shared with the handles.
     shared: Arc<Shared>,
     /// Writes from the handles.
-    rx: Receiver<Op>,
-    /// Failures that wake the probes.
-    trouble: Receiver<()>,
-    /// Claims that wait.
+    rx: Receiver<WriteRequest>,
+    /// Receives a message after a failure, which wakes the probe loop.
+    failures: Receiver<()>,
+    /// Claims that wait to be written.
     inserts: Batcher<Tag>,
-    /// Settlements that wait.
+    /// Settlements and other background writes that wait to be written.
     jobs: Batcher<Tag>,
-    /// When the oldest settlement is written even if no claim shares its transaction.
+    /// Time at which waiting settlements are written even if there is no claim to share the transaction.
     jobs_due: Monotonic,
-    /// Before this time no settlement is written.
-    jobs_from: Monotonic,
-    /// Whether the table service was out of reach at the last look.
+    /// Time before which no settlement is written.
+    jobs_not_before: Monotonic,
+    /// Whether the table service was unavailable at the last check.
     is_recovering: bool,
 }
 
 impl LedgerWriter {
-    /// A writer and a handle for the traffic threads. `is_alive` tells whether a run of a host is still going on.
+    /// Creates a writer, and a handle for the traffic threads. `is_alive` returns whether the holder of a
+    /// claim is alive in the same incarnation.
     pub fn new(
         table: Arc<dyn TableService>,
         clock: Arc<dyn Clock>,
@@ -148,8 +152,8 @@
         is_alive: impl Fn(&ClaimRow) -> bool + Send + Sync + 'static,
         log: Logger,
     ) -> (Self, LedgerHandle) {
-        let (tx, rx) = async_channel::bounded(OPS_PER_TRY * settings.backlog.max(1));
-        let (trouble_tx, trouble) = async_channel::bounded(1);
+        let (tx, rx) = async_channel::bounded(WRITES_PER_ATTEMPT * settings.max_backlog.max(1));
+        let (failure_tx, failures) = async_channel::bounded(1);
         let shared = Arc::new(Shared {
             table,
             clock,
@@ -157,29 +161,29 @@
             protocol,
             holder,
             is_alive: Arc::new(is_alive),
-            is_open: AtomicBool::new(false),
-            trouble: trouble_tx,
+            is_unavailable: AtomicBool::new(false),
+            wake_probes: failure_tx,
             stats: LedgerStats::default(),
             log,
         });
         let handle = LedgerHandle::new(Arc::clone(&shared), tx);
         let writer = Self {
             rx,
-            trouble,
+            failures,
             inserts: Batcher::default(),
             jobs: Batcher::default(),
             jobs_due: Monotonic::ZERO,
-            jobs_from: Monotonic::ZERO,
+            jobs_not_before: Monotonic::ZERO,
             is_recovering: false,
             shared,
         };
         (writer, handle)
     }
 
-    /// Writes until the handles are closed or gone and every settlement is written.
+    /// Runs until the handles are closed or dropped and every settlement is written.
     pub async fn run(mut self) {
         let (stop_tx, stop) = async_channel::bounded::<()>(1);
-        let probes = probe_loop(Arc::clone(&self.shared), self.trouble.clone(), stop);
+        let probes = probe_loop(Arc::clone(&self.shared), self.failures.clone(), stop);
         let writes = async move {
             self.write_loop().await;
             drop(stop_tx);
@@ -188,26 +192,27 @@
     }
 
     async fn write_loop(&mut self) {
-        while self.gather().await {
-            if self.shared.is_open() {
-                self.hold_back();
+        while self.receive_writes().await {
+            if self.shared.is_unavailable() {
+                self.reject_inserts();
                 continue;
             }
             if self.is_recovering {
                 self.is_recovering = false;
-                let part = rand::rng().random::<f64>();
-                self.jobs_from = self.now() + self.shared.settings.recovery_spread.mul_f64(part);
+                let jitter = rand::rng().random::<f64>();
+                self.jobs_not_before = self.now() + self.shared.settings.max_recovery_delay.mul_f64(jitter);
             }
             let batch = self.next_batch();
             self.write(batch).await;
         }
     }
 
-    /// Waits for writes; false once all handles are gone and nothing is left to write.
-    async fn gather(&mut self) -> bool {
+    /// Receives writes from the handles. Returns false once the channel is closed and nothing is left to
+    /// write.
+    async fn receive_writes(&mut self) -> bool {
         if self.inserts.is_empty() && self.jobs.is_empty() {
             match self.rx.recv().await {
-                Ok(op) => self.push(op),
+                Ok(request) => self.push(request),
                 Err(_) => return false,
             }
         }
@@ -217,42 +222,42 @@
         if !self.inserts.is_empty() {
             Timer::after(self.shared.settings.commit_window).await;
         }
-        while let Ok(op) = self.rx.try_recv() {
-            self.push(op);
+        while let Ok(request) = self.rx.try_recv() {
+            self.push(request);
         }
         true
     }
 
-    /// Waits until the settlements are due or a claim comes.
+    /// Waits until the settlements are due or a claim arrives.
     async fn wait_for_jobs(&mut self) {
         while self.inserts.is_empty() {
-            let due = self.jobs_due.max(self.jobs_from);
-            let left = due.saturating_sub(self.now());
-            if left.is_zero() {
+            let due = self.jobs_due.max(self.jobs_not_before);
+            let remaining = due.saturating_sub(self.now());
+            if remaining.is_zero() {
                 return;
             }
             let timer = async {
-                Timer::after(left).await;
+                Timer::after(remaining).await;
                 None
             };
             let rx = self.rx.clone();
             let next = async {
                 match rx.recv().await {
-                    Ok(op) => Some(op),
+                    Ok(request) => Some(request),
                     Err(_) => smol::future::pending().await,
                 }
             };
             match or(timer, next).await {
-                Some(op) => self.push(op),
+                Some(request) => self.push(request),
                 None => return,
             }
         }
     }
 
-    fn push(&mut self, op: Op) {
-        match op {
-            Op::Insert(write, tx) => self.inserts.push(*write, Tag::Insert(tx)),
-            Op::Job(job, tx) => self.push_job(job, tx),
+    fn push(&mut self, request: WriteRequest) {
+        match request {
+            WriteRequest::Insert(write, tx) => self.inserts.push(*write, Tag::Insert(tx)),
+            WriteRequest::Job(job, tx) => self.push_job(job, tx),
         }
     }
 
@@ -263,36 +268,37 @@
         self.jobs.push(job.write().clone(), Tag::Job(job, tx));
     }
 
-    /// While the table service is out of reach, claims are refused and settlements wait.
-    fn hold_back(&mut self) {
+    /// Refuses all waiting claims and postpones settlements, as the table service is unavailable.
+    fn reject_inserts(&mut self) {
         while !self.inserts.is_empty() {
             let mut batch = Batch::default();
-            self.inserts.fill(&mut batch, self.shared.settings.batch_rows);
-            for (tag, result) in batch.not_sent() {
+            self.inserts.fill(&mut batch, self.shared.settings.max_batch_rows);
+            for (tag, result) in batch.cancel() {
                 self.deliver(tag, result);
             }
         }
         self.is_recovering = true;
-        self.jobs_from = self.now() + self.shared.settings.probe_interval;
+        self.jobs_not_before = self.now() + self.shared.settings.probe_interval;
     }
 
-    /// Settlements that are due take up to half of a batch first: claims of the same row must not keep them waiting.
+    /// Fills the next batch. Due settlements take up to half of it first: claims on the same rows would
+    /// otherwise keep them out of the batch.
     fn next_batch(&mut self) -> Batch<Tag> {
         let now = self.now();
-        let rows = self.shared.settings.batch_rows;
+        let rows = self.shared.settings.max_batch_rows;
         let mut batch = Batch::default();
-        if now >= self.jobs_due && now >= self.jobs_from {
+        if now >= self.jobs_due && now >= self.jobs_not_before {
             self.jobs.fill(&mut batch, rows.div_ceil(2));
             self.jobs_due = now + self.shared.settings.commit_window;
         }
         self.inserts.fill(&mut batch, rows);
-        if now >= self.jobs_from {
+        if now >= self.jobs_not_before {
             self.jobs.fill(&mut batch, rows);
         }
         batch
     }
 
-    /// Sends a batch, and what is left of it after a refusal.
+    /// Sends a batch, and after a refusal the remaining writes of it.
     async fn write(&mut self, batch: Batch<Tag>) {
         let mut next = (!batch.is_empty()).then_some(batch);
         while let Some(batch) = next {
@@ -301,7 +307,7 @@
             stats.rows.fetch_add(batch.len() as u64, Ordering::Relaxed);
             let answer = self
                 .shared
-                .wait(self.shared.table.transact(batch.transaction()))
+                .with_store_timeout(self.shared.table.transact(batch.transaction()))
                 .await;
             let (results, rest) = batch.handle_answer(answer, &*self.shared.is_alive);
             for (tag, result) in results {
@@ -314,14 +320,14 @@
     fn deliver(&mut self, tag: Tag, result: WriteResult) {
         match tag {
             Tag::Insert(tx) => {
-                // The try may be gone; its own clean-up gives the claim up.
+                // If the attempt was dropped, its `Drop` abandons the claim.
                 let _ = tx.try_send(result);
             }
             Tag::Job(mut job, tx) => match job.step(&result) {
                 JobStep::Retry => self.push_job(job, tx),
                 JobStep::Done => {
                     self.shared.stats.backlog.fetch_sub(1, Ordering::Relaxed);
-                    // The caller may have stopped waiting.
+                    // The receiver may have timed out or been dropped.
                     let _ = tx.try_send(());
                 }
             },
@@ -333,46 +339,46 @@
     }
 }
 
-/// Probes the table service after a failure until it answers.
-async fn probe_loop(shared: Arc<Shared>, trouble: Receiver<()>, stop: Receiver<()>) {
+/// Waits for failures and probes the table service after each until it answers.
+async fn probe_loop(shared: Arc<Shared>, failures: Receiver<()>, stop: Receiver<()>) {
     loop {
-        let failed = async { trouble.recv().await.is_ok() };
-        if !or(failed, is_stopped(&stop)).await {
+        let failed = async { failures.recv().await.is_ok() };
+        if !or(failed, wait_for_stop(&stop)).await {
             return;
         }
-        warn!(shared.log, "claims are refused until the table service answers"; events::LEDGER_CLOSED);
-        probe_until_back(&shared, &stop).await;
-        info!(shared.log, "claims are made again"; events::LEDGER_BACK,
+        warn!(shared.log, "table service unavailable, claims are refused"; events::LEDGER_CLOSED);
+        probe_until_available(&shared, &stop).await;
+        info!(shared.log, "table service available again, claims are accepted"; events::LEDGER_BACK,
             "backlog" => shared.stats.backlog.load(Ordering::Relaxed));
     }
 }
 
-async fn probe_until_back(shared: &Shared, stop: &Receiver<()>) {
+async fn probe_until_available(shared: &Shared, stop: &Receiver<()>) {
     let mut breaker = Breaker::new(shared.settings.probe_interval);
     loop {
         if shared
-            .wait(shared.table.read(vec![PROBE_ROW.to_owned()]))
+            .with_store_timeout(shared.table.read(vec![PROBE_ROW.to_owned()]))
             .await
             .is_ok()
         {
-            shared.is_open.store(false, Ordering::Release);
+            shared.is_unavailable.store(false, Ordering::Release);
             return;
         }
         let now = shared.clock.now();
         breaker.record_failure(now, rand::rng().random::<f64>());
-        let left = breaker.probe_at().unwrap_or(now).saturating_sub(now);
-        let slept = async {
-            Timer::after(left).await;
+        let remaining = breaker.probe_at().unwrap_or(now).saturating_sub(now);
+        let pause = async {
+            Timer::after(remaining).await;
             true
         };
-        if !or(slept, is_stopped(stop)).await {
+        if !or(pause, wait_for_stop(stop)).await {
             return;
         }
     }
 }
 
-/// Waits for the writer's end; then false.
-async fn is_stopped(stop: &Receiver<()>) -> bool {
+/// Waits until the writer stops; returns false then.
+async fn wait_for_stop(stop: &Receiver<()>) -> bool {
     let _ = stop.recv().await;
     false
 }
--- a/components/ledger/tests/batch.rs
+++ b/components/ledger/tests/batch.rs
@@ -1,4 +1,4 @@
-//! Writes that share a transaction.
+//! Tests of batches of writes that share a transaction.
 
 use ledger::{AttemptId, Batch, Batcher, ClaimRow, ClaimState, Holder, RowWrite, WriteResult};
 use metadata::{Expect, MemoryTable};
@@ -30,27 +30,27 @@
         batcher.push(insert(&format!("b{attempt}"), attempt), 10 + attempt);
     }
     let sizes = [
-        take(&mut batcher).len(),
-        take(&mut batcher).len(),
-        take(&mut batcher).len(),
+        next_batch(&mut batcher).len(),
+        next_batch(&mut batcher).len(),
+        next_batch(&mut batcher).len(),
     ];
     assert_eq!(sizes, [4, 1, 1]);
     assert!(batcher.is_empty());
 }
 
 #[test]
-fn one_refused_write_does_not_refuse_the_others() {
+fn a_refused_write_does_not_refuse_the_others() {
     let table = MemoryTable::default();
     let mut batcher = Batcher::default();
     batcher.push(insert("b", 1), 1);
-    let (first, _) = settle(&table, take(&mut batcher));
+    let (first, _) = commit(&table, next_batch(&mut batcher));
     assert_eq!(first, [(1, WriteResult::Applied(1))]);
     for (i, key) in ["a", "b", "c"].into_iter().enumerate() {
         batcher.push(insert(key, 10), i);
     }
-    let (refused, rest) = settle(&table, take(&mut batcher));
+    let (refused, rest) = commit(&table, next_batch(&mut batcher));
     assert!(matches!(&refused[..], [(1, WriteResult::Refused(Some(found)))] if found.version == 1));
-    let (applied, rest) = settle(&table, rest.expect("rest"));
+    let (applied, rest) = commit(&table, rest.expect("rest"));
     assert_eq!(
         applied,
         [(0, WriteResult::Applied(2)), (2, WriteResult::Applied(2))]
@@ -58,14 +58,14 @@
     assert!(rest.is_none());
 }
 
-type Settled = (Vec<(usize, WriteResult)>, Option<ledger::Batch<usize>>);
+type CommitResult = (Vec<(usize, WriteResult)>, Option<ledger::Batch<usize>>);
 
-fn settle(table: &MemoryTable, batch: ledger::Batch<usize>) -> Settled {
+fn commit(table: &MemoryTable, batch: ledger::Batch<usize>) -> CommitResult {
     let committed = table.apply(&batch.transaction());
     batch.handle_answer(Ok(committed), |_: &ClaimRow| true)
 }
 
-fn take<T>(batcher: &mut Batcher<T>) -> Batch<T> {
+fn next_batch<T>(batcher: &mut Batcher<T>) -> Batch<T> {
     let mut batch = Batch::default();
     batcher.fill(&mut batch, 64);
     batch
--- a/components/ledger/tests/faults/counts.rs
+++ b/components/ledger/tests/faults/counts.rs
@@ -1,29 +1,29 @@
 use std::fmt;
 
-/// What was counted.
+/// Counters of a simulation run.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Counts {
     pub(crate) calls: usize,
     pub(crate) never_ran: usize,
     pub(crate) ran_once: usize,
     pub(crate) ran_twice: usize,
-    /// Callers that got the answer.
+    /// Callers that received the answer.
     pub(crate) answered: usize,
-    /// Callers that were told `may-have-run` at last.
+    /// Callers whose last reply is `may-have-run`.
     pub(crate) unknown: usize,
-    /// Callers that were told `not-run` at last.
+    /// Callers whose last reply is `not-run`.
     pub(crate) refused: usize,
-    /// Callers that got no reply at all.
-    pub(crate) open: usize,
-    /// Replies that do not fit what the targets did.
-    pub(crate) lies: usize,
-    /// Replies that say `not-run` of a try, truly, while an earlier try of the same call ran.
+    /// Callers without any reply.
+    pub(crate) unanswered: usize,
+    /// Replies that contradict what the targets ran.
+    pub(crate) false_replies: usize,
+    /// Replies that state `not-run` for an attempt while an earlier attempt at the same call ran.
     pub(crate) earlier_ran: usize,
-    /// Replies that were checked.
+    /// Replies checked.
     pub(crate) replies: usize,
     pub(crate) transactions: usize,
     pub(crate) rows: usize,
-    /// Times to refusals because of the table service, in milliseconds.
+    /// Times from a request to its refusal because of the table service, in milliseconds.
     pub(crate) refusals: Vec<u64>,
 }
 
@@ -36,8 +36,8 @@
         self.answered += other.answered;
         self.unknown += other.unknown;
         self.refused += other.refused;
-        self.open += other.open;
-        self.lies += other.lies;
+        self.unanswered += other.unanswered;
+        self.false_replies += other.false_replies;
         self.earlier_ran += other.earlier_ran;
         self.replies += other.replies;
         self.transactions += other.transactions;
@@ -45,13 +45,13 @@
         self.refusals.extend(&other.refusals);
     }
 
-    /// A quantile of the times to refusals.
+    /// Returns a quantile of the times to refusals, in milliseconds.
     pub(crate) fn refusal_ms(&self, quantile: f64) -> u64 {
         let mut sorted = self.refusals.clone();
         sorted.sort_unstable();
-        let at = (sorted.len() as f64 * quantile) as usize;
+        let index = (sorted.len() as f64 * quantile) as usize;
         sorted
-            .get(at.min(sorted.len().saturating_sub(1)))
+            .get(index.min(sorted.len().saturating_sub(1)))
             .copied()
             .unwrap_or_default()
     }
@@ -63,7 +63,8 @@
         write!(
             f,
             "{} calls ran 0/1/2 times: {}/{}/{}; last reply ran {}, may-have-run {}, not-run {}, none {}; \
-             {} lies in {} replies, {} say not-run of a later try; {:.2} transactions and {:.2} rows a call",
+             {} of {} replies false, {} state not-run for a later attempt; \
+             {:.2} transactions and {:.2} rows a call",
             self.calls,
             self.never_ran,
             self.ran_once,
@@ -71,8 +72,8 @@
             self.answered,
             self.unknown,
             self.refused,
-            self.open,
-            self.lies,
+            self.unanswered,
+            self.false_replies,
             self.replies,
             self.earlier_ran,
             per_call(self.transactions),
--- a/components/ledger/tests/faults/main.rs
+++ b/components/ledger/tests/faults/main.rs
@@ -1,28 +1,29 @@
-//! Seeded calls over nine hosts under each fault and each pair of faults, in virtual time.
+//! Simulates seeded calls over nine hosts in virtual time, with each fault and each pair of faults. Checks
+//! that no call runs twice and that no reply contradicts what the targets ran.
 
 mod counts;
 mod host;
+mod inject;
 mod sim;
 mod store;
-mod strikes;
 mod world;
 
 use counts::Counts;
 use sim::Sim;
 use world::Fault;
 
-/// Stated target: time to a true refusal beyond the first timeout, in milliseconds.
-const REFUSAL_MS: u64 = 50;
-/// Calls for each fault and pair in CI.
+/// Required maximum time from a request to a true refusal, beyond the first store timeout, in milliseconds.
+const MAX_REFUSAL_MS: u64 = 50;
+/// Number of calls in CI for each combination of faults.
 const CI_CALLS: usize = 500;
-/// Calls for each fault and pair in the whole run, which has 21 of them.
+/// Number of calls in the full run for each of the 21 combinations of faults.
 const ALL_CALLS: usize = 5_000;
 
-/// Each fault alone and each pair of faults.
+/// Returns each fault alone and each pair of faults.
 fn combinations() -> Vec<Vec<Fault>> {
     let mut all: Vec<Vec<Fault>> = Fault::ALL.iter().map(|fault| vec![*fault]).collect();
-    for (i, one) in Fault::ALL.iter().enumerate() {
-        all.extend(Fault::ALL[i + 1..].iter().map(|other| vec![*one, *other]));
+    for (i, first) in Fault::ALL.iter().enumerate() {
+        all.extend(Fault::ALL[i + 1..].iter().map(|second| vec![*first, *second]));
     }
     all
 }
@@ -32,7 +33,7 @@
     for faults in combinations() {
         let counts = Sim::new(seed, &faults).run(calls);
         println!("{faults:?}: {counts}");
-        assert_eq!(counts.lies, 0, "seed {seed}, {faults:?}");
+        assert_eq!(counts.false_replies, 0, "seed {seed}, {faults:?}");
         assert_eq!(counts.ran_twice, 0, "seed {seed}, {faults:?}");
         total.add(&counts);
     }
@@ -44,14 +45,14 @@
 fn no_call_runs_twice_and_no_reply_is_false() {
     let total = run_all(1, CI_CALLS);
     assert_eq!(total.calls, 21 * CI_CALLS);
-    assert_eq!(total.open, 0);
+    assert_eq!(total.unanswered, 0);
 }
 
 #[test]
 #[ignore = "100,000 calls take longer than CI allows"]
 fn no_call_of_a_hundred_thousand_runs_twice_and_no_reply_is_false() {
     let total = run_all(2, ALL_CALLS);
-    assert_eq!(total.open, 0);
+    assert_eq!(total.unanswered, 0);
 }
 
 #[test]
@@ -64,22 +65,22 @@
 #[test]
 fn refusals_are_fast_while_the_table_service_is_down() {
     let counts = Sim::new(4, &[Fault::StoreDown]).run(5_000);
-    let late = counts.refusal_ms(0.99).saturating_sub(sim::STORE_TIMEOUT_MS);
+    let extra_ms = counts.refusal_ms(0.99).saturating_sub(sim::STORE_TIMEOUT_MS);
     println!(
         "table service down: {counts}; refusals p50 {} ms, p99 {} ms",
         counts.refusal_ms(0.5),
         counts.refusal_ms(0.99)
     );
     assert!(counts.refusals.len() > 100);
-    assert!(late <= REFUSAL_MS);
+    assert!(extra_ms <= MAX_REFUSAL_MS);
 }
 
 #[test]
-fn a_fault_in_the_rules_is_seen() {
-    let sees = |fault: Fault| {
+fn the_simulation_detects_a_call_that_is_sent_again_after_dispatch() {
+    let detects = |fault: Fault| {
         let mut sim = Sim::new(5, &[fault, Fault::HostKilled]);
         sim.is_retrying_after_dispatch = true;
         sim.run(2_000).ran_twice > 0
     };
-    assert!(sees(Fault::ConnectionSilent));
+    assert!(detects(Fault::ConnectionSilent));
 }
--- a/components/ledger/tests/faults/sim.rs
+++ b/components/ledger/tests/faults/sim.rs
@@ -11,20 +11,21 @@
 use utils::Monotonic;
 
 use crate::counts::Counts;
-use crate::host::{Host, Open, Tag};
-use crate::world::{CallFate, Fault, TARGETS, World, millis, reply};
+use crate::host::{Host, InFlight, Tag};
+use crate::world::{CallDelivery, Fault, TARGETS, World, random_millis, reply};
 
 pub(crate) const HOSTS: usize = 9;
-/// Calls a second over all hosts.
-const RATE: u64 = 200;
+/// Calls per second over all hosts.
+const CALLS_PER_SECOND: u64 = 200;
 pub(crate) const STORE_TIMEOUT_MS: u64 = 500;
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time after which peers take a silent host for dead.
-const SILENCE: Duration = Duration::from_secs(1);
+/// Time without an answer after which peers consider a host dead.
+const SUSPICION_TIMEOUT: Duration = Duration::from_secs(1);
 const CLAIM_VALID_MS: u64 = 2_000;
 const MAX_SENDS: u32 = 12;
 
-/// What happens at a moment. Events of a host carry its incarnation and are lost with it.
+/// A scheduled event. An event of a host carries the host's incarnation and is dropped once that incarnation
+/// has ended.
 pub(crate) enum Event {
     Caller {
         key: u64,
@@ -69,7 +70,7 @@
     },
 }
 
-/// A caller with one call.
+/// A caller, which makes one call.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Caller {
     pub(crate) sends: u32,
@@ -77,7 +78,7 @@
     pub(crate) is_done: bool,
 }
 
-/// Nine hosts, their callers and the world.
+/// A simulation of nine hosts, their callers and the world outside the hosts.
 pub(crate) struct Sim {
     pub(crate) rng: ChaCha8Rng,
     pub(crate) now: Monotonic,
@@ -86,14 +87,15 @@
     pub(crate) world: World,
     pub(crate) faults: Vec<Fault>,
     pub(crate) events: BTreeMap<u64, (Option<(usize, u64)>, Event)>,
-    pub(crate) order: BinaryHeap<Reverse<(Monotonic, u64)>>,
+    pub(crate) queue: BinaryHeap<Reverse<(Monotonic, u64)>>,
     pub(crate) next_event: u64,
     pub(crate) attempts: u64,
     pub(crate) callers: Vec<Caller>,
-    /// Replies to tries, to be checked when all is over.
-    pub(crate) told: Vec<(u64, u64, Verdict)>,
+    /// Replies as (key, attempt, verdict), checked at the end of the run.
+    pub(crate) replies: Vec<(u64, u64, Verdict)>,
     pub(crate) counts: Counts,
-    /// A fault of the rules: a call whose answer is lost is sent again.
+    /// Whether a call with a lost answer is sent again: a violation of the protocol that the checks must
+    /// detect.
     pub(crate) is_retrying_after_dispatch: bool,
 }
 
@@ -107,67 +109,67 @@
             world: World::default(),
             faults: faults.to_vec(),
             events: BTreeMap::new(),
-            order: BinaryHeap::new(),
+            queue: BinaryHeap::new(),
             next_event: 0,
             attempts: 0,
             callers: Vec::new(),
-            told: Vec::new(),
+            replies: Vec::new(),
             counts: Counts::default(),
             is_retrying_after_dispatch: false,
         }
     }
 
-    /// Makes calls and waits until every caller has a last reply.
+    /// Runs the simulation with a number of calls until no event is left or the time limit is reached.
     pub(crate) fn run(&mut self, calls: usize) -> Counts {
         self.callers = vec![Caller::default(); calls];
         for key in 0..calls as u64 {
-            let at = Duration::from_millis(key * 1_000 / RATE);
-            self.at(at, None, Event::Caller { key });
+            let at = Duration::from_millis(key * 1_000 / CALLS_PER_SECOND);
+            self.schedule_after(at, None, Event::Caller { key });
         }
         for fault in self.faults.clone() {
-            let wait = millis(&mut self.rng, 100, 2_000);
-            self.at(wait, None, Event::Fault { fault });
+            let wait = random_millis(&mut self.rng, 100, 2_000);
+            self.schedule_after(wait, None, Event::Fault { fault });
         }
-        let end = Duration::from_secs(calls as u64 / RATE + 60);
-        while let Some(Reverse((at, id))) = self.order.pop() {
+        let end = Duration::from_secs(calls as u64 / CALLS_PER_SECOND + 60);
+        while let Some(Reverse((at, id))) = self.queue.pop() {
             if at > end {
                 break;
             }
             self.now = at;
-            if let Some((place, event)) = self.events.remove(&id) {
-                self.happen(place, event);
+            if let Some((owner, event)) = self.events.remove(&id) {
+                self.handle_event(owner, event);
             }
         }
         self.count();
         self.counts.clone()
     }
 
-    pub(crate) fn at(&mut self, wait: Duration, host: Option<usize>, event: Event) {
-        let place = host.map(|host| (host, self.hosts[host].incarnation));
-        self.schedule(self.now + wait, place, event);
+    pub(crate) fn schedule_after(&mut self, wait: Duration, host: Option<usize>, event: Event) {
+        let owner = host.map(|host| (host, self.hosts[host].incarnation));
+        self.schedule(self.now + wait, owner, event);
     }
 
-    pub(crate) fn schedule(&mut self, at: Monotonic, place: Option<(usize, u64)>, event: Event) {
+    pub(crate) fn schedule(&mut self, at: Monotonic, owner: Option<(usize, u64)>, event: Event) {
         self.next_event += 1;
-        self.events.insert(self.next_event, (place, event));
-        self.order.push(Reverse((at, self.next_event)));
+        self.events.insert(self.next_event, (owner, event));
+        self.queue.push(Reverse((at, self.next_event)));
     }
 
-    /// Lets an event happen, unless its host is gone; a paused host sees it later.
-    pub(crate) fn happen(&mut self, place: Option<(usize, u64)>, event: Event) {
-        let Some((host, incarnation)) = place else {
-            return self.happen_outside(event);
+    /// Handles an event, unless its host's incarnation has ended. Postpones an event of a paused host.
+    pub(crate) fn handle_event(&mut self, owner: Option<(usize, u64)>, event: Event) {
+        let Some((host, incarnation)) = owner else {
+            return self.handle_world_event(event);
         };
         if self.hosts[host].incarnation != incarnation {
             return;
         }
         let until = self.hosts[host].paused_until;
         if self.now < until {
-            return self.schedule(until, place, event);
+            return self.schedule(until, owner, event);
         }
         match event {
             Event::Flush => self.flush(host),
-            Event::Answer { batch, answer } => self.take_answer(host, batch, answer),
+            Event::Answer { batch, answer } => self.handle_store_answer(host, batch, answer),
             Event::ReadBack { attempt } => {
                 let found = self.read(host, attempt);
                 self.input(host, attempt, Input::Read(found));
@@ -181,7 +183,7 @@
         }
     }
 
-    pub(crate) fn happen_outside(&mut self, event: Event) {
+    pub(crate) fn handle_world_event(&mut self, event: Event) {
         match event {
             Event::Caller { key } => self.send_call(key),
             Event::Late { tx } => {
@@ -196,7 +198,7 @@
         }
     }
 
-    /// The balancer gives a caller's request to a host.
+    /// Sends a caller's request to a random host, as a load balancer does.
     pub(crate) fn send_call(&mut self, key: u64) {
         let caller = &mut self.callers[key as usize];
         if caller.is_done || caller.sends >= MAX_SENDS {
@@ -209,7 +211,7 @@
         if !self.hosts[host].breaker.is_closed() {
             let refused = Verdict::Refused(RefusedReason::StoreUnavailable);
             self.counts.refusals.push(0);
-            return self.tell(key, attempt, refused);
+            return self.reply_to_caller(key, attempt, refused);
         }
         let target = self.rng.random_range(0..TARGETS);
         let row = ClaimRow {
@@ -224,18 +226,18 @@
             claimed_at_ms: 0,
             state: ClaimState::Claimed,
         };
-        let open = Open {
+        let in_flight = InFlight {
             call: self.protocol.start(row_key(key), row),
             key,
             target,
-            came: self.now,
+            arrived_at: self.now,
         };
-        self.hosts[host].open.insert(attempt, open);
-        // A paused host sees the request later.
+        self.hosts[host].in_flight.insert(attempt, in_flight);
+        // A paused host handles the request after the pause.
         let wait = self.hosts[host].paused_until.saturating_sub(self.now);
         match wait.is_zero() {
             true => self.input(host, attempt, Input::Start),
-            false => self.at(
+            false => self.schedule_after(
                 wait,
                 Some(host),
                 Event::CallEnd {
@@ -247,14 +249,14 @@
     }
 
     pub(crate) fn input(&mut self, host: usize, attempt: u64, input: Input) {
-        let Some(open) = self.hosts[host].open.get_mut(&attempt) else {
+        let Some(in_flight) = self.hosts[host].in_flight.get_mut(&attempt) else {
             return;
         };
         let step = self
             .protocol
-            .step(&mut open.call, input, self.now)
+            .step(&mut in_flight.call, input, self.now)
             .expect("allowed input");
-        let (key, target, came) = (open.key, open.target, open.came);
+        let (key, target, arrived_at) = (in_flight.key, in_flight.target, in_flight.arrived_at);
         if let Some(job) = step.job {
             self.hosts[host].push_job(job);
             self.wake(host);
@@ -266,41 +268,44 @@
             }
             Effect::Read(_) => self.read_back(host, attempt),
             Effect::Hold => {
-                let wait = millis(&mut self.rng, 0, 1);
-                self.at(wait, Some(host), Event::Send { attempt });
+                let wait = random_millis(&mut self.rng, 0, 1);
+                self.schedule_after(wait, Some(host), Event::Send { attempt });
             }
             Effect::Dispatch => self.dispatch(host, attempt, key, target),
-            Effect::QueryTarget(asked) => {
-                let asked = asked.parse().expect("number of a target");
-                let wait = millis(&mut self.rng, 1, 5);
-                self.at(
+            Effect::QueryTarget(queried) => {
+                let queried = queried.parse().expect("number of a target");
+                let wait = random_millis(&mut self.rng, 1, 5);
+                self.schedule_after(
                     wait,
                     Some(host),
                     Event::Ask {
                         attempt,
-                        target: asked,
+                        target: queried,
                     },
                 );
             }
             Effect::Respond(verdict) => {
                 if verdict == Verdict::Refused(RefusedReason::StoreUnavailable) {
-                    self.counts.refusals.push((self.now - came).as_millis() as u64);
+                    self.counts
+                        .refusals
+                        .push((self.now - arrived_at).as_millis() as u64);
                 }
-                self.hosts[host].open.remove(&attempt);
-                self.tell(key, attempt, verdict);
+                self.hosts[host].in_flight.remove(&attempt);
+                self.reply_to_caller(key, attempt, verdict);
             }
         }
     }
 
-    /// What peers take for alive: a dead host for a while longer, and a paused one not.
-    pub(crate) fn alive(&self) -> impl Fn(&Holder) -> bool + use<> {
+    /// Returns a check of whether peers consider a holder alive. A killed host counts as alive for the
+    /// suspicion timeout, and a host paused for longer than that counts as dead.
+    pub(crate) fn liveness(&self) -> impl Fn(&Holder) -> bool + use<> {
         let now = self.now;
         let hosts: Vec<_> = self
             .hosts
             .iter()
             .map(|h| {
-                let is_recent = h.died_at.is_some_and(|at| now - at < SILENCE);
-                let is_silent = now < h.paused_until && now - h.paused_from > SILENCE;
+                let is_recent = h.replaced_at.is_some_and(|at| now - at < SUSPICION_TIMEOUT);
+                let is_silent = now < h.paused_until && now - h.paused_from > SUSPICION_TIMEOUT;
                 (h.incarnation, is_recent, is_silent)
             })
             .collect();
@@ -313,73 +318,84 @@
     }
 
     pub(crate) fn dispatch(&mut self, host: usize, attempt: u64, key: u64, target: usize) {
-        let (there, back) = (millis(&mut self.rng, 1, 3), millis(&mut self.rng, 2, 30));
+        let (outbound, inbound) = (
+            random_millis(&mut self.rng, 1, 3),
+            random_millis(&mut self.rng, 2, 30),
+        );
         let end = |input| Event::CallEnd { attempt, input };
-        match self.world.call_fate(target, &mut self.rng) {
-            CallFate::NotSent => self.at(there, Some(host), end(Input::NotRun)),
-            CallFate::LostBefore => self.at(CALL_TIMEOUT, Some(host), end(Input::AnswerLost)),
-            CallFate::Late => {
-                let late = CALL_TIMEOUT + millis(&mut self.rng, 0, 5_000);
-                self.at(late, None, Event::Run { target, key, attempt });
-                self.at(CALL_TIMEOUT, Some(host), end(Input::AnswerLost));
+        match self.world.call_delivery(target, &mut self.rng) {
+            CallDelivery::NotSent => self.schedule_after(outbound, Some(host), end(Input::NotRun)),
+            CallDelivery::LostBefore => self.schedule_after(CALL_TIMEOUT, Some(host), end(Input::AnswerLost)),
+            CallDelivery::Late => {
+                let delay = CALL_TIMEOUT + random_millis(&mut self.rng, 0, 5_000);
+                self.schedule_after(delay, None, Event::Run { target, key, attempt });
+                self.schedule_after(CALL_TIMEOUT, Some(host), end(Input::AnswerLost));
             }
-            CallFate::LostAfter => {
-                self.at(there, None, Event::Run { target, key, attempt });
-                self.at(CALL_TIMEOUT, Some(host), end(Input::AnswerLost));
+            CallDelivery::LostAfter => {
+                self.schedule_after(outbound, None, Event::Run { target, key, attempt });
+                self.schedule_after(CALL_TIMEOUT, Some(host), end(Input::AnswerLost));
             }
-            CallFate::Answered => {
-                self.at(there, None, Event::Run { target, key, attempt });
-                self.at(there + back, Some(host), end(Input::Answered(reply(attempt))));
+            CallDelivery::Answered => {
+                self.schedule_after(outbound, None, Event::Run { target, key, attempt });
+                self.schedule_after(
+                    outbound + inbound,
+                    Some(host),
+                    end(Input::Answered(reply(attempt))),
+                );
             }
         }
     }
 
-    /// The answer came, unless the target went down before it ran the call or before it answered.
+    /// Ends a call. Its answer is lost if the target went down before it ran the call or before it answered.
     pub(crate) fn end_call(&mut self, host: usize, attempt: u64, input: Input) {
-        let Some(open) = self.hosts[host].open.get(&attempt) else {
+        let Some(in_flight) = self.hosts[host].in_flight.get(&attempt) else {
             return;
         };
-        let (key, target) = (open.key, open.target);
+        let (key, target) = (in_flight.key, in_flight.target);
         let has_run = self
             .world
             .runs
             .get(&key)
             .is_some_and(|runs| runs.contains(&attempt));
         let is_answer = matches!(input, Input::Answered(_));
-        let is_cut = is_answer && (!has_run || self.world.targets[target].is_down);
-        let input = if is_cut { Input::AnswerLost } else { input };
+        let is_lost = is_answer && (!has_run || self.world.targets[target].is_down);
+        let input = if is_lost { Input::AnswerLost } else { input };
         if self.is_retrying_after_dispatch && input == Input::AnswerLost {
             return self.dispatch(host, attempt, key, target);
         }
         self.input(host, attempt, input);
     }
 
-    /// The target is asked for the outcome; the last target can't say.
+    /// Queries a target for the outcome; the last target does not support the query.
     pub(crate) fn ask(&mut self, host: usize, attempt: u64, target: usize) {
-        let Some(key) = self.hosts[host].open.get(&attempt).map(|open| open.key) else {
+        let Some(key) = self.hosts[host]
+            .in_flight
+            .get(&attempt)
+            .map(|in_flight| in_flight.key)
+        else {
             return;
         };
-        let can_say =
-            target + 1 < TARGETS && self.world.call_fate(target, &mut self.rng) == CallFate::Answered;
-        let ran = self.world.targets[target].ran.get(&key).filter(|_| can_say);
+        let can_answer =
+            target + 1 < TARGETS && self.world.call_delivery(target, &mut self.rng) == CallDelivery::Answered;
+        let ran = self.world.targets[target].ran.get(&key).filter(|_| can_answer);
         let input = ran.map_or(Input::TargetInconclusive, |ran| Input::TargetRan(reply(*ran)));
         self.input(host, attempt, input);
     }
 
-    /// A caller gets a reply, and sends again unless it is an answer.
-    pub(crate) fn tell(&mut self, key: u64, attempt: u64, verdict: Verdict) {
+    /// Delivers a reply to a caller, which retries unless the reply is the call's answer.
+    pub(crate) fn reply_to_caller(&mut self, key: u64, attempt: u64, verdict: Verdict) {
         let is_answer = matches!(verdict, Verdict::Reply(_));
         let caller = &mut self.callers[key as usize];
         caller.is_done |= is_answer;
         caller.last = Some(verdict.clone());
-        self.told.push((key, attempt, verdict));
+        self.replies.push((key, attempt, verdict));
         if !is_answer {
-            let wait = millis(&mut self.rng, 200, 2_000);
-            self.at(wait, None, Event::Caller { key });
+            let wait = random_millis(&mut self.rng, 200, 2_000);
+            self.schedule_after(wait, None, Event::Caller { key });
         }
     }
 
-    /// Checks every reply against what the targets did.
+    /// Checks every reply against what the targets ran and fills the counters.
     pub(crate) fn count(&mut self) {
         let counts = &mut self.counts;
         counts.calls = self.callers.len();
@@ -390,22 +406,22 @@
                 _ => counts.ran_twice += 1,
             }
             match &caller.last {
-                None => counts.open += 1,
+                None => counts.unanswered += 1,
                 Some(Verdict::Reply(_)) => counts.answered += 1,
                 Some(Verdict::Refused(_)) => counts.refused += 1,
                 Some(Verdict::InProgress | Verdict::Unknown) => counts.unknown += 1,
             }
         }
-        counts.replies = self.told.len();
+        counts.replies = self.replies.len();
         let none = Vec::new();
-        for (key, attempt, verdict) in &self.told {
+        for (key, attempt, verdict) in &self.replies {
             let runs = self.world.runs.get(key).unwrap_or(&none);
             let is_true = match verdict {
                 Verdict::Refused(_) => !runs.contains(attempt),
-                Verdict::Reply(told) => runs.iter().any(|ran| reply(*ran) == *told),
+                Verdict::Reply(recorded) => runs.iter().any(|ran| reply(*ran) == *recorded),
                 Verdict::InProgress | Verdict::Unknown => true,
             };
-            counts.lies += usize::from(!is_true);
+            counts.false_replies += usize::from(!is_true);
             let is_refused = matches!(verdict, Verdict::Refused(_));
             let is_after_run = runs.iter().any(|ran| ran < attempt);
             counts.earlier_ran += usize::from(is_refused && is_after_run);
--- a/components/ledger/tests/faults/world.rs
+++ b/components/ledger/tests/faults/world.rs
@@ -6,10 +6,10 @@
 use rand_chacha::ChaCha8Rng;
 use utils::Monotonic;
 
-/// Targets of the service.
+/// Number of targets of the service.
 pub(crate) const TARGETS: usize = 3;
 
-/// What goes wrong from time to time.
+/// Fault injected at random times.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Fault {
     HostKilled,
@@ -31,9 +31,9 @@
     ];
 }
 
-/// What the table service makes of a transaction.
+/// How the table service handles a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum StoreMood {
+pub(crate) enum StoreResponse {
     Answers,
     LosesAnswer,
     NotReached,
@@ -42,63 +42,71 @@
     Late,
 }
 
-/// What becomes of a call to a target.
+/// How far a call to a target gets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum CallFate {
+pub(crate) enum CallDelivery {
     Answered,
     NotSent,
-    /// The connection goes silent before the call reaches the target.
+    /// The connection stops responding before the call reaches the target.
     LostBefore,
-    /// The connection holds the call back until its sender has stopped waiting.
+    /// The connection delivers the call after its sender has stopped waiting.
     Late,
-    /// The connection goes silent after the call ran.
+    /// The connection stops responding after the call ran.
     LostAfter,
 }
 
-/// A target of the service: it remembers what it ran.
+/// A target of the service, which records the calls it ran.
 #[derive(Debug, Default)]
 pub(crate) struct Target {
-    /// Replies by key.
+    /// Attempt that ran last, by key of the call.
     pub(crate) ran: BTreeMap<u64, u64>,
     pub(crate) is_down: bool,
 }
 
-/// What lies outside the entry hosts.
+/// State outside the entry hosts: table service, targets and connections.
 #[derive(Debug, Default)]
 pub(crate) struct World {
     pub(crate) table: MemoryTable,
     pub(crate) targets: [Target; TARGETS],
-    /// Tries that ran, by key.
+    /// Attempts that ran, by key of the call.
     pub(crate) runs: BTreeMap<u64, Vec<u64>>,
     pub(crate) is_store_down: bool,
     pub(crate) is_losing_answers: bool,
-    pub(crate) is_silent: bool,
+    pub(crate) is_connection_silent: bool,
 }
 
 impl World {
-    pub(crate) fn store_mood(&self, rng: &mut ChaCha8Rng) -> StoreMood {
+    pub(crate) fn store_response(&self, rng: &mut ChaCha8Rng) -> StoreResponse {
         if self.is_store_down {
-            let moods = [StoreMood::NotReached, StoreMood::Silent, StoreMood::Late];
-            return moods[rng.random_range(0..moods.len())];
+            let responses = [
+                StoreResponse::NotReached,
+                StoreResponse::Silent,
+                StoreResponse::Late,
+            ];
+            return responses[rng.random_range(0..responses.len())];
         }
         if self.is_losing_answers && rng.random::<f64>() < 0.5 {
-            return StoreMood::LosesAnswer;
+            return StoreResponse::LosesAnswer;
         }
-        StoreMood::Answers
+        StoreResponse::Answers
     }
 
-    pub(crate) fn call_fate(&self, target: usize, rng: &mut ChaCha8Rng) -> CallFate {
+    pub(crate) fn call_delivery(&self, target: usize, rng: &mut ChaCha8Rng) -> CallDelivery {
         if self.targets[target].is_down {
-            return CallFate::NotSent;
+            return CallDelivery::NotSent;
         }
-        if self.is_silent && rng.random::<f64>() < 0.5 {
-            let fates = [CallFate::LostBefore, CallFate::Late, CallFate::LostAfter];
-            return fates[rng.random_range(0..fates.len())];
+        if self.is_connection_silent && rng.random::<f64>() < 0.5 {
+            let deliveries = [
+                CallDelivery::LostBefore,
+                CallDelivery::Late,
+                CallDelivery::LostAfter,
+            ];
+            return deliveries[rng.random_range(0..deliveries.len())];
         }
-        CallFate::Answered
+        CallDelivery::Answered
     }
 
-    /// A target runs a call; false if it is down.
+    /// Runs a call at a target; returns false if the target is down.
     pub(crate) fn run(&mut self, target: usize, key: u64, attempt: u64) -> bool {
         if self.targets[target].is_down {
             return false;
@@ -109,7 +117,7 @@
     }
 }
 
-/// The reply that a target gives to a try: it names the try.
+/// Returns a target's reply to an attempt; its body is the number of the attempt.
 pub(crate) fn reply(attempt: u64) -> RecordedReply {
     RecordedReply {
         status: 201,
@@ -118,7 +126,7 @@
     }
 }
 
-/// A random time in milliseconds.
-pub(crate) fn millis(rng: &mut ChaCha8Rng, from: u64, to: u64) -> Monotonic {
+/// Returns a random duration between two bounds in milliseconds.
+pub(crate) fn random_millis(rng: &mut ChaCha8Rng, from: u64, to: u64) -> Monotonic {
     Monotonic::from_micros(rng.random_range(from * 1_000..to * 1_000))
 }
--- a/components/ledger/tests/support/mod.rs
+++ b/components/ledger/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A table service with faults, and hosts that share it.
+//! A table service with injected faults, and ledgers of hosts that share it.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -15,19 +15,19 @@
 use smol::{LocalExecutor, Task};
 use utils::Clock;
 
-/// How the table service behaves.
+/// Fault injected into the table service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) enum Fault {
-    /// It answers.
+    /// All calls are answered.
     #[default]
     None,
-    /// The next transaction takes effect and its answer is lost.
+    /// The next transaction takes effect, but its answer is lost.
     LoseOne,
-    /// Nothing is answered.
+    /// No call is answered.
     Silent,
 }
 
-/// A table service with faults.
+/// In-memory table service with an injected fault.
 #[derive(Debug, Default)]
 pub(crate) struct FaultyTable {
     pub(crate) table: MemoryTable,
@@ -76,7 +76,7 @@
     }
 }
 
-/// Starts a host's ledger.
+/// Starts the ledger of a host.
 pub(crate) fn host(
     ex: &LocalExecutor<'static>,
     table: &Arc<FaultyTable>,
@@ -86,7 +86,7 @@
     let settings = LedgerSettings {
         store_timeout: Duration::from_millis(20),
         probe_interval: Duration::from_millis(5),
-        recovery_spread: Duration::from_millis(5),
+        max_recovery_delay: Duration::from_millis(5),
         ..LedgerSettings::default()
     };
     let holder = Holder {
@@ -105,7 +105,7 @@
     (handle, ex.spawn(writer.run()))
 }
 
-/// A try at a call.
+/// Builds an attempt at a call.
 pub(crate) fn call(key: &str, attempt: u128, body: &str) -> NewCall {
     NewCall {
         key: CallKey {
@@ -119,7 +119,7 @@
     }
 }
 
-/// A service's answer.
+/// Builds an answer of a service.
 pub(crate) fn reply(text: &str) -> RecordedReply {
     RecordedReply {
         status: 201,
