--- a/components/errors/src/event.rs
+++ b/components/errors/src/event.rs
@@ -3,11 +3,11 @@
 /// A numbered log event. As a slog key-value it adds `event` (number) and `name` to a line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Event {
-    /// Stable number; the thousands digit is the subsystem.
+    /// Stable number; the thousands digit identifies the subsystem.
     pub number: u16,
     /// Stable snake_case name.
     pub name: &'static str,
-    /// What the line means, for the catalogue.
+    /// Description of the event for the catalogue.
     pub meaning: &'static str,
 }
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// The events, one constant each. Use as `slog::info!(log, "text"; events::PLACED, "key" => value)`.
+/// One constant for each event. Use as `slog::info!(log, "text"; events::PLACED, "key" => value)`.
 pub mod events {
     use super::{Event, event};
 
@@ -39,7 +39,7 @@
     pub const DRAIN_STARTED: Event = event(
         1003,
         "drain_started",
-        "The host reports not ready and finishes open work.",
+        "The host reports not ready and finishes the requests in flight.",
     );
     pub const CONNECTION_FAILED: Event = event(
         1004,
@@ -55,23 +55,27 @@
     pub const PLACED: Event = event(
         2002,
         "request_placed",
-        "A target was chosen; gives cost terms and rejected candidates.",
+        "A target was chosen; lists cost terms and rejected candidates.",
+    );
+    pub const ANSWERED: Event = event(
+        2003,
+        "request_answered",
+        "The whole answer was sent to the caller.",
     );
-    pub const ANSWERED: Event = event(2003, "request_answered", "The whole answer went to the caller.");
     pub const ATTEMPT_FAILED: Event = event(
         2004,
         "attempt_failed",
-        "One try at a target failed; says what is known about it.",
+        "An attempt at a target failed; states the known outcome.",
     );
     pub const OUTCOME_UNKNOWN: Event = event(
         2005,
         "outcome_unknown",
-        "A call was sent and its result is not known.",
+        "A call was sent and its result is unknown.",
     );
     pub const CALLER_GONE: Event = event(
         2006,
         "caller_gone",
-        "The caller closed the connection before the end.",
+        "The caller closed the connection before the end of the answer.",
     );
     pub const LEDGER_CLOSED: Event = event(
         2100,
@@ -86,51 +90,51 @@
     pub const RETRY_DECIDED: Event = event(
         2103,
         "retry_decided",
-        "After a failed try: whether and when the request is sent again, or why not.",
+        "After a failed attempt: whether and when the request is sent again, or why not.",
     );
     pub const REQUEST_SUSPECTED: Event = event(
         2110,
         "request_suspected",
-        "A target crashed with a request aboard; its next try runs alone among suspects.",
+        "A target crashed with a request in flight; it runs next at a target without other suspects.",
     );
     pub const REQUEST_QUARANTINED: Event = event(
         2111,
         "request_quarantined",
-        "A request was aboard two crashes and is refused from now on.",
+        "A request was in flight at two target crashes and is refused from now on.",
     );
     pub const REQUEST_CLEARED: Event = event(
         2112,
         "request_cleared",
-        "A suspect ended well, its row expired, or an operator cleared it.",
+        "A suspect request succeeded, its row expired, or an operator cleared it.",
     );
     pub const SUSPECTS_UNWRITTEN: Event = event(
         2113,
         "suspects_unwritten",
-        "The table service did not take the rows of suspects in time; other hosts do not know them yet.",
+        "Rows of suspects were not written to the table service in time; other hosts do not have them yet.",
     );
     pub const SETTLEMENTS_LEFT: Event = event(
         2102,
         "settlements_left",
-        "The host ended before the results of all calls were recorded; their keys will say may-have-run.",
+        "The host stopped before all results were recorded; the affected keys will report may-have-run.",
     );
 
     pub const IMPORT_FAILED: Event = event(
         2200,
         "import_failed",
-        "A target could not read kept cache from a store in time; it computes the prompt again.",
-    );
-    pub const EXPORT_FAILED: Event = event(
-        2201,
-        "export_failed",
-        "Kept cache could not be written to a store.",
+        "A target could not read cache from a store in time; it computes the prompt again.",
     );
+    pub const EXPORT_FAILED: Event = event(2201, "export_failed", "Cache could not be written to a store.");
 
-    pub const RESUMED: Event = event(2007, "stream_resumed", "A broken stream went on at its offset.");
+    pub const RESUMED: Event = event(
+        2007,
+        "stream_resumed",
+        "An interrupted stream was resumed at its offset.",
+    );
 
     pub const NOTE_STAGED: Event = event(
         3001,
         "note_staged",
-        "The host holds a staged release note and obeys it too.",
+        "The host holds a staged release note and applies it too.",
     );
     pub const NOTE_IN_FORCE: Event = event(
         3002,
@@ -141,18 +145,18 @@
     pub const HEAD_UNCONFIRMED: Event = event(
         3004,
         "head_unconfirmed",
-        "The host can not confirm the head of the notes.",
+        "The host can not confirm the head of the release notes.",
     );
 
     pub const HEAD_CONFIRMED: Event = event(
         3005,
         "head_confirmed",
-        "The host confirms the head of the notes again and takes new work.",
+        "The host has confirmed the head of the release notes again and accepts new work.",
     );
     pub const HOST_SUPERSEDED: Event = event(
         3006,
         "host_superseded",
-        "Another run has registered under this host's name; the host takes no new work.",
+        "Another incarnation has registered under this host's name; the host accepts no new work.",
     );
 
     pub const ROSTER_CHANGED: Event = event(
@@ -163,76 +167,76 @@
     pub const ROSTER_WAITS: Event = event(
         3011,
         "roster_waits",
-        "A change of the roster waits for hosts that have not confirmed.",
+        "A change of the roster waits for hosts that have not confirmed it.",
     );
     pub const ROSTER_UNCHANGED: Event = event(
         3012,
         "roster_unchanged",
-        "The roster could not be changed now; tried again.",
+        "The roster could not be changed; the change is retried.",
     );
     pub const LIST_READ: Event = event(4001, "list_read", "The platform's list of hosts changed.");
     pub const LIST_DISTRUSTED: Event = event(
         4002,
         "list_distrusted",
-        "Too many hosts vanished at once; the last good list stays in use.",
+        "Too many hosts disappeared from the list at once; the last accepted list stays in use.",
     );
     pub const PLATFORM_FAILED: Event = event(4003, "platform_failed", "A call to the platform failed.");
     pub const PLATFORM_BACK: Event = event(4004, "platform_back", "The platform answers again.");
     pub const PEER_SUSPECTED: Event = event(
         4005,
         "peer_suspected",
-        "Another entry host did not answer, also not through others.",
+        "Another entry host did not answer direct or indirect probes.",
     );
-    pub const PEER_DEAD: Event = event(4006, "peer_dead", "Another entry host counts as gone.");
+    pub const PEER_DEAD: Event = event(4006, "peer_dead", "Another entry host is considered dead.");
     pub const PEER_BACK: Event = event(4007, "peer_back", "Another entry host answers again.");
     pub const PEER_RESTARTED: Event = event(
         4008,
         "peer_restarted",
-        "Another entry host runs in a new incarnation.",
+        "Another entry host has restarted with a new incarnation.",
     );
     pub const ISOLATED: Event = event(
         4009,
         "isolated",
-        "Too many neighbours are silent at once; the last good view stays in use.",
+        "Too many neighbours do not answer at once; the last accepted view stays in use.",
     );
     pub const REJOINED: Event = event(4010, "rejoined", "The neighbours answer again.");
     pub const CONTROL_PAUSED: Event = event(
         4011,
         "control_paused",
-        "The control thread did not run for a while; what it heard before is stale.",
+        "The control thread was paused; state received before the pause is stale.",
     );
 
     pub const ROUTE_PLACED: Event = event(
         5001,
         "route_placed",
-        "A request on a declared route goes to a target; gives the cost and the expected time.",
+        "A target was chosen for a request on a declared route; gives the cost and the expected time.",
     );
     pub const ROUTE_REFUSED: Event = event(
         5002,
         "route_refused",
-        "A request on a declared route was refused; says whether it ran.",
+        "A request on a declared route was refused; states whether it ran.",
     );
     pub const ROUTE_ANSWERED: Event = event(
         5003,
         "route_answered",
-        "A request on a declared route got its answer.",
+        "A request on a declared route was answered.",
     );
     pub const ROUTE_ATTEMPT_FAILED: Event = event(
         5004,
         "route_try_failed",
-        "A try at a target failed; says what is known about it.",
+        "An attempt at a target failed; states the known outcome.",
     );
     pub const ROUTE_INTERRUPTED: Event =
-        event(5005, "route_cut", "A stream on a declared route ended early.");
+        event(5005, "route_cut", "A stream on a declared route was interrupted.");
     pub const ROUTE_RESUMED: Event = event(
         5006,
         "route_resumed",
-        "A stream on a declared route went on at another target.",
+        "A stream on a declared route was resumed at another target.",
     );
     pub const CRASH_NOT_SHARED: Event = event(
         5007,
         "crash_untold",
-        "Too many requests were aboard crashes at once; other hosts are not told of this one.",
+        "Too many requests were in flight at crashes at once; this crash is not reported to other hosts.",
     );
     pub const METRICS_MISSING: Event = event(
         5008,
@@ -242,12 +246,12 @@
     pub const LINES_LEFT_OUT: Event = event(
         5009,
         "lines_left_out",
-        "More lines came in a second than are written; counts those that were left out.",
+        "The rate limit for log lines was exceeded; counts the lines left out in one second.",
     );
     pub const STORE_LOST: Event = event(
         5010,
         "store_lost",
-        "Calls to the platform's store fail; other hosts are asked for changes.",
+        "Calls to the platform's store fail; changes are requested from other hosts.",
     );
     pub const STORE_BACK: Event = event(5011, "store_back", "The platform's store answers again.");
     pub const RECORD_UNUSABLE: Event = event(
@@ -258,42 +262,46 @@
     pub const STATE_CHANGED: Event = event(
         5013,
         "beliefs_changed",
-        "The host believes something new of declarations, targets or hosts.",
+        "The host's cached state of declarations, targets or hosts changed.",
     );
     pub const PEER_READ: Event = event(
         5014,
         "peer_read",
-        "Another host told what changed while the store does not answer.",
+        "Changes were received from another host while the store does not answer.",
     );
     pub const KEPT_CACHE_DROPPED: Event = event(
         5015,
         "kept_dropped",
-        "A store of kept cache was told to drop parts of replaced weights.",
+        "A cache store was ordered to drop parts of replaced weights.",
     );
     pub const HOST_UNREACHABLE: Event = event(
         5016,
         "host_silent",
-        "Another host did not answer twice; its entry is removed unless it has registered again.",
+        "Two checks of another host failed; its entry is removed unless it has registered again.",
     );
     pub const KEPT_STORE_AVAILABLE: Event = event(
         5017,
         "kept_heard",
-        "A store of kept cache answers, or answers again; gives its run and place.",
+        "A cache store answers, or answers again; gives its run and failure domain.",
     );
     pub const KEPT_STORE_UNAVAILABLE: Event = event(
         5018,
         "kept_lost",
-        "A store of kept cache does not answer; nothing is fetched from it or saved to it.",
+        "A cache store does not answer; nothing is fetched from it or saved to it.",
+    );
+    pub const LEASE_TAKEN: Event = event(
+        5020,
+        "lease_taken",
+        "The host acquired the lease for orders to engines.",
     );
-    pub const LEASE_TAKEN: Event = event(5020, "lease_taken", "The host may give orders to engines.");
     pub const WEIGHTS_ORDERED: Event = event(
         5021,
         "weights_ordered",
-        "An engine was ordered to load weights; gives its answer.",
+        "An engine was ordered to load weights; gives the engine's answer.",
     );
 }
 
-/// Every event, ordered by number.
+/// All events, ordered by number.
 pub const ALL_EVENTS: &[Event] = &[
     events::HOST_STARTED,
     events::HOST_STOPPED,
@@ -358,7 +366,7 @@
     events::WEIGHTS_ORDERED,
 ];
 
-/// The catalogue of all events as a Markdown table; `docs/EVENTS.md` holds the same text.
+/// Returns the catalogue of all events as a Markdown table. `docs/EVENTS.md` ends with the same text.
 ///
 /// ```
 /// assert!(errors::event_catalogue().contains("| 1001 | `host_started` |"));
--- a/components/errors/src/lib.rs
+++ b/components/errors/src/lib.rs
@@ -1,4 +1,4 @@
-//! Types shared by every crate: honest outcomes, problem documents and numbered log events.
+//! Types shared by all crates: outcomes of requests, problem documents and numbered log events.
 
 mod event;
 mod outcome;
--- a/components/errors/src/outcome.rs
+++ b/components/errors/src/outcome.rs
@@ -18,22 +18,22 @@
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// No byte of the request reached a target, or the target proves that it did not run.
+    /// No byte of the request reached a target, or the target proves that it did not run the request.
     NotRun,
-    /// The target ran the request and its result is known.
+    /// The target ran the request, and its result is known.
     Ran,
-    /// The request was sent and its result is not known.
+    /// The request was sent, and its result is unknown.
     MayHaveRun,
 }
 
-/// The text is not the name of an [`Outcome`].
+/// Error of parsing a text as an [`Outcome`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 #[error("an outcome is one of not-run, ran and may-have-run")]
 pub struct ParseOutcomeError;
 
 impl Outcome {
-    /// The name used in headers, bodies and logs.
+    /// Returns the name used in headers, bodies and logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
--- a/components/errors/src/problem.rs
+++ b/components/errors/src/problem.rs
@@ -2,7 +2,7 @@
 
 use crate::Outcome;
 
-/// The reasons for which a caller gets a problem document instead of an answer.
+/// Kind of a problem document, which a caller receives instead of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
@@ -37,7 +37,7 @@
 }
 
 impl ProblemKind {
-    /// The HTTP status that goes with this kind.
+    /// Returns the HTTP status of this kind.
     pub fn status(self) -> u16 {
         match self {
             Self::MalformedRequest | Self::MissingIdempotencyKey | Self::InvalidResumeToken => 400,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// A short sentence that is the same for every occurrence of the kind.
+    /// Returns a short sentence that is the same for every occurrence of the kind.
     pub fn title(self) -> &'static str {
         match self {
             Self::MalformedRequest => "The request can not be read",
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The kebab-case name, also the last part of the problem's `type`.
+    /// Returns the kebab-case name, which is also the last part of the problem's `type`.
     pub fn name(self) -> String {
         serde_json::to_value(self)
             .ok()
@@ -99,7 +99,7 @@
     }
 }
 
-/// A problem document as in RFC 9457, with the outcome of the request.
+/// A problem document as in RFC 9457, extended by the outcome of the request.
 ///
 /// ```
 /// use errors::{Outcome, Problem, ProblemKind};
@@ -111,18 +111,18 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Problem {
-    /// URN that names the kind.
+    /// URN that identifies the kind.
     #[serde(rename = "type")]
     pub kind: String,
-    /// Sentence that is the same for all problems of the kind.
+    /// Sentence that is the same for every occurrence of the kind.
     pub title: String,
     /// HTTP status.
     pub status: u16,
-    /// What happened this time.
+    /// Explanation specific to this occurrence.
     pub detail: String,
     /// What is known about whether the request ran.
     pub outcome: Outcome,
-    /// Identifier of the request in logs, empty before one is assigned.
+    /// Identifier of the request in logs; empty before it is assigned.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub request_id: String,
 }
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Adds the request identifier.
+    /// Sets the request identifier.
     pub fn with_request(mut self, request_id: impl Into<String>) -> Self {
         self.request_id = request_id.into();
         self
--- a/components/gateway/src/control/stores.rs
+++ b/components/gateway/src/control/stores.rs
@@ -96,8 +96,9 @@
     let log = &control.traffic.log;
     match current {
         Some(run) if before != current => {
-            info!(log, "store of kept cache answers"; events::KEPT_STORE_AVAILABLE, "store" => &*store.address,
-                "domain" => &*store.domain, "capacity_tokens" => store.capacity_tokens, "run" => run);
+            info!(log, "store of kept cache answers"; events::KEPT_STORE_AVAILABLE,
+                "store" => &*store.address, "domain" => &*store.domain,
+                "capacity_tokens" => store.capacity_tokens, "run" => run);
         }
         None if before.is_some() => {
             warn!(log, "store of kept cache does not answer"; events::KEPT_STORE_UNAVAILABLE,
