--- a/components/logs/src/budget.rs
+++ b/components/logs/src/budget.rs
@@ -5,20 +5,22 @@
 use slog::{Drain, Level, OwnedKVList, Record, b, record};
 use utils::{Clock, Monotonic};
 
-/// Span over which lines are counted.
-const SPAN: Duration = Duration::from_secs(1);
+/// Length of the window in which lines are counted.
+const WINDOW: Duration = Duration::from_secs(1);
 
-/// Most lines a second.
+/// Maximum numbers of log lines per second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LineLimits {
-    /// All lines.
+    /// Lines of all levels together.
     pub all: u32,
-    /// Lines on what went well; the rest is left to failures, refusals and late answers.
+    /// Lines below warning level. The difference to `all` is reserved for failures, refusals and late
+    /// answers.
     pub routine: u32,
 }
 
 impl Default for LineLimits {
-    /// A line costs up to 25 microseconds with its write, so these are at most 1% of a core.
+    /// Returns limits at which log lines use at most 1% of a core: a line costs up to 25 microseconds with
+    /// its write.
     fn default() -> Self {
         Self {
             all: 400,
@@ -27,54 +29,56 @@
     }
 }
 
-/// Lines of the second at hand.
+/// Counts of lines in the current window.
 #[derive(Debug, Default)]
-struct Count {
-    /// When the second began.
+struct WindowCounts {
+    /// Start of the window.
     since: Monotonic,
-    /// Lines written.
+    /// Number of lines written.
     written: u32,
-    /// Lines on what went well that were left out.
+    /// Number of lines below warning level that were left out.
     routine_left_out: u32,
-    /// Other lines that were left out.
+    /// Number of lines at warning level or above that were left out.
     failures_left_out: u32,
 }
 
-/// Passes on a limited number of lines a second, failures before successes, and says how many it left out.
+/// Drain that passes on a limited number of lines per second. Part of the limit is reserved for failures. The
+/// first line after a second with omissions is preceded by a line with the numbers of lines left out.
 pub struct LogBudget<D, C> {
-    /// Where lines go.
+    /// Drain that receives the admitted lines.
     drain: D,
-    /// How many.
+    /// Limits per second.
     limits: LineLimits,
-    /// Time.
+    /// Source of time.
     clock: Arc<C>,
-    /// Lines so far.
-    count: Mutex<Count>,
+    /// Counts in the current window.
+    counts: Mutex<WindowCounts>,
 }
 
 impl<D, C: Clock> LogBudget<D, C> {
-    /// A budget before a drain.
+    /// Creates a budget in front of a drain.
     pub fn new(drain: D, limits: LineLimits, clock: Arc<C>) -> Self {
         Self {
             drain,
             limits,
             clock,
-            count: Mutex::default(),
+            counts: Mutex::default(),
         }
     }
 
-    /// Whether a line may be written, and what the second before has left out if this line is the first after it.
-    fn admit(&self, level: Level) -> (bool, Option<Count>) {
+    /// Returns whether a line is admitted. If the line is the first in a new window and lines were left out
+    /// in the last one, returns the counts of that window too.
+    fn admit(&self, level: Level) -> (bool, Option<WindowCounts>) {
         let now = self.clock.now();
-        let mut count = self.count.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
         let mut ended = None;
-        if now >= count.since + SPAN {
-            let fresh = Count {
+        if now >= counts.since + WINDOW {
+            let next = WindowCounts {
                 since: now,
-                ..Count::default()
+                ..WindowCounts::default()
             };
-            let before = std::mem::replace(&mut *count, fresh);
-            ended = Some(before).filter(|c| c.routine_left_out + c.failures_left_out > 0);
+            let last = std::mem::replace(&mut *counts, next);
+            ended = Some(last).filter(|c| c.routine_left_out + c.failures_left_out > 0);
         }
         let is_routine = !level.is_at_least(Level::Warning);
         let limit = if is_routine {
@@ -82,11 +86,11 @@
         } else {
             self.limits.all
         };
-        let is_admitted = count.written < limit;
+        let is_admitted = counts.written < limit;
         match (is_admitted, is_routine) {
-            (true, _) => count.written += 1,
-            (false, true) => count.routine_left_out += 1,
-            (false, false) => count.failures_left_out += 1,
+            (true, _) => counts.written += 1,
+            (false, true) => counts.routine_left_out += 1,
+            (false, false) => counts.failures_left_out += 1,
         }
         (is_admitted, ended)
     }
@@ -98,14 +102,14 @@
 
     fn log(&self, line: &Record<'_>, values: &OwnedKVList) -> Result<(), D::Err> {
         let (is_admitted, ended) = self.admit(line.level());
-        if let Some(count) = ended {
+        if let Some(counts) = ended {
             self.drain.log(
                 &record!(
                     Level::Warning,
                     "",
                     &format_args!("lines left out"),
-                    b!(events::LINES_LEFT_OUT, "routine" => count.routine_left_out,
-                        "failures" => count.failures_left_out)
+                    b!(events::LINES_LEFT_OUT, "routine" => counts.routine_left_out,
+                        "failures" => counts.failures_left_out)
                 ),
                 values,
             )?;
--- a/components/logs/src/lib.rs
+++ b/components/logs/src/lib.rs
@@ -1,4 +1,5 @@
-//! Log lines: how many a host writes, and what those of several hosts tell of one request.
+//! Log lines: a rate limit for the lines of a host, and the timeline of one request across the logs of
+//! several hosts.
 
 mod budget;
 mod timeline;
--- a/components/logs/src/timeline.rs
+++ b/components/logs/src/timeline.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use serde_json::{Map, Value};
 
-/// A log can not be read.
+/// Error of reading a log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 #[error("{source_name} can not be read")]
@@ -14,27 +14,27 @@
     source_name: String,
 }
 
-/// A line that names the request.
+/// A log line about the request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TimelineEntry {
-    /// Time that the host wrote, RFC 3339.
+    /// Timestamp in the line, as in RFC 3339.
     pub time: String,
-    /// Name of the log, that is of the host.
+    /// Name of the log, which identifies the host.
     pub log: String,
     /// Name of the event.
     pub event: String,
-    /// What the line says beside that.
+    /// Remaining key-value pairs of the line.
     pub details: Map<String, Value>,
 }
 
-/// What the logs of several hosts tell of one request, by time.
+/// Log lines of several hosts about one request, ordered by time.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct RequestTimeline {
-    /// The lines.
+    /// The lines, ordered by timestamp.
     pub lines: Vec<TimelineEntry>,
 }
 
-/// A line as `slog-json` writes it.
+/// A log line in the format of `slog-json`.
 #[derive(Debug, Deserialize)]
 struct RawLine {
     ts: String,
@@ -45,17 +45,17 @@
 }
 
 impl RequestTimeline {
-    /// Adds the lines of a log that name a request. Lines of another form are passed over: other programs write to the
-    /// same stream.
+    /// Adds the lines of a log about a request. Lines in another format are skipped, because other programs
+    /// write to the same stream.
     ///
     /// # Errors
-    /// [`TimelineError`] if the log can not be read to its end.
+    /// Returns [`TimelineError`] if the log can not be read to its end.
     ///
     /// ```
     /// let log = r#"{"msg":"refused","request":"r1","name":"route_refused","ts":"2026-12-04T08:00:00Z","event":5002,"level":"WARN"}"#;
-    /// let mut story = logs::RequestTimeline::default();
-    /// story.add("host-1", log.as_bytes(), "r1").unwrap();
-    /// assert_eq!(story.lines[0].event, "route_refused");
+    /// let mut timeline = logs::RequestTimeline::default();
+    /// timeline.add("host-1", log.as_bytes(), "r1").unwrap();
+    /// assert_eq!(timeline.lines[0].event, "route_refused");
     /// ```
     pub fn add(&mut self, log: &str, text: impl BufRead, request: &str) -> Result<(), Report<TimelineError>> {
         for line in text.lines() {
@@ -66,7 +66,7 @@
                 continue;
             };
             if raw.request == request {
-                self.lines.push(told(log, raw));
+                self.lines.push(timeline_entry(log, raw));
             }
         }
         self.lines.sort_by(|a, b| a.time.cmp(&b.time));
@@ -74,10 +74,10 @@
     }
 }
 
-fn told(log: &str, raw: RawLine) -> TimelineEntry {
+fn timeline_entry(log: &str, raw: RawLine) -> TimelineEntry {
     let mut details = raw.details;
-    for known in ["msg", "level", "event"] {
-        details.remove(known);
+    for key in ["msg", "level", "event"] {
+        details.remove(key);
     }
     TimelineEntry {
         time: raw.ts,
--- a/components/logs/tests/logs.rs
+++ b/components/logs/tests/logs.rs
@@ -1,4 +1,4 @@
-//! A bounded number of lines, failures first, and the lines of one request out of several logs.
+//! Tests of the rate limit for log lines and of the timeline of one request across several logs.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -7,11 +7,11 @@
 use slog::{Drain, Level, Logger, Never, OwnedKVList, Record, info, o, warn};
 use utils::ManualClock;
 
-/// Keeps levels and texts.
+/// Drain that records levels and messages.
 #[derive(Clone, Default)]
-struct Kept(Arc<Mutex<Vec<(Level, String)>>>);
+struct RecordingDrain(Arc<Mutex<Vec<(Level, String)>>>);
 
-impl Drain for Kept {
+impl Drain for RecordingDrain {
     type Ok = ();
     type Err = Never;
 
@@ -22,57 +22,60 @@
     }
 }
 
-impl Kept {
+impl RecordingDrain {
     fn count(&self, level: Level) -> usize {
         let lines = self.0.lock().unwrap();
         lines.iter().filter(|(l, _)| *l == level).count()
     }
 }
 
-fn limited() -> (Logger, Kept, Arc<ManualClock>) {
-    let (kept, clock) = (Kept::default(), Arc::new(ManualClock::default()));
+fn limited() -> (Logger, RecordingDrain, Arc<ManualClock>) {
+    let (recorded, clock) = (RecordingDrain::default(), Arc::new(ManualClock::default()));
     clock.advance(Duration::from_secs(10));
     let limits = LineLimits { all: 10, routine: 6 };
-    let budget = LogBudget::new(kept.clone(), limits, clock.clone());
-    (Logger::root(budget.fuse(), o!()), kept, clock)
+    let budget = LogBudget::new(recorded.clone(), limits, clock.clone());
+    (Logger::root(budget.fuse(), o!()), recorded, clock)
 }
 
 #[test]
 fn a_flood_of_successes_leaves_room_for_failures() {
-    let (log, kept, _clock) = limited();
+    let (log, recorded, _clock) = limited();
     for _ in 0..100 {
         info!(log, "answered");
     }
     for _ in 0..100 {
         warn!(log, "refused");
     }
-    assert_eq!((kept.count(Level::Info), kept.count(Level::Warning)), (6, 4));
+    assert_eq!(
+        (recorded.count(Level::Info), recorded.count(Level::Warning)),
+        (6, 4)
+    );
 }
 
 #[test]
-fn what_was_left_out_is_counted_in_the_next_second() {
-    let (log, kept, clock) = limited();
+fn lines_left_out_are_counted_in_the_next_second() {
+    let (log, recorded, clock) = limited();
     for _ in 0..100 {
         info!(log, "answered");
     }
     clock.advance(Duration::from_secs(1));
     info!(log, "answered");
-    let lines = kept.0.lock().unwrap();
+    let lines = recorded.0.lock().unwrap();
     assert_eq!(lines[6], (Level::Warning, "lines left out".to_owned()));
     assert_eq!(lines[7], (Level::Info, "answered".to_owned()));
 }
 
 #[test]
-fn nothing_is_said_if_nothing_was_left_out() {
-    let (log, kept, clock) = limited();
+fn no_line_is_added_if_none_was_left_out() {
+    let (log, recorded, clock) = limited();
     info!(log, "answered");
     clock.advance(Duration::from_secs(1));
     info!(log, "answered");
-    assert_eq!(kept.count(Level::Warning), 0);
+    assert_eq!(recorded.count(Level::Warning), 0);
 }
 
 #[test]
-fn a_request_is_told_by_time_over_several_hosts() {
+fn the_timeline_of_a_request_over_several_hosts_is_ordered_by_time() {
     let line = |second: u32, event: &str, request: &str| {
         format!(
             r#"{{"msg":"m","try":1,"request":"{request}","name":"{event}","event":1,"level":"INFO","ts":"2026-12-04T08:00:0{second}Z"}}"#
@@ -85,11 +88,11 @@
     ]
     .join("\n");
     let second = [line(2, "route_placed", "r2"), line(5, "route_placed", "r1")].join("\n");
-    let mut story = RequestTimeline::default();
-    story.add("host-1", first.as_bytes(), "r1").unwrap();
-    story.add("host-2", second.as_bytes(), "r1").unwrap();
+    let mut timeline = RequestTimeline::default();
+    timeline.add("host-1", first.as_bytes(), "r1").unwrap();
+    timeline.add("host-2", second.as_bytes(), "r1").unwrap();
     assert_eq!(
-        story.to_string(),
+        timeline.to_string(),
         "2026-12-04T08:00:01Z  host-1  route_placed  try=1\n\
          2026-12-04T08:00:04Z  host-1  route_cut  try=1\n\
          2026-12-04T08:00:05Z  host-2  route_placed  try=1\n"
