--- a/components/load/src/records.rs
+++ b/components/load/src/records.rs
@@ -24,7 +24,7 @@
 ///
 /// # Errors
 /// [`LoadError::NoRecord`] if a stand-in does not hand out its record.
-pub fn judge(sources: &RecordSources, finished: &[Finished]) -> Result<Verdict, Report<LoadError>> {
+pub fn check_run(sources: &RecordSources, finished: &[Finished]) -> Result<Verdict, Report<LoadError>> {
     let ex: Executor = Arc::new(smol::Executor::new());
     let client = Client::new(ex.clone(), ClientConfig::default());
     let record = smol::block_on(ex.run(async {
--- a/components/trial/src/report.rs
+++ b/components/trial/src/report.rs
@@ -82,7 +82,7 @@
     }
 
     /// Whether every promise was kept.
-    pub fn is_kept(&self) -> bool {
+    pub fn all_promises_kept(&self) -> bool {
         self.broken == 0
     }
 }
--- a/components/trial/src/run.rs
+++ b/components/trial/src/run.rs
@@ -6,7 +6,7 @@
 use error_stack::{Report, ResultExt};
 use futures_lite::FutureExt;
 use http_io::Executor;
-use loadgen::{Caller, CallerConfig, Finished, Latencies, Play, Preset, Trace};
+use loadgen::{Caller, CallerConfig, Finished, Latencies, PlayObserver, Preset, Trace};
 use slog::Logger;
 
 use crate::balancer::Balancer;
@@ -42,7 +42,11 @@
 ///
 /// # Errors
 /// [`TrialError`] if something could not be started; broken promises are in the report.
-pub fn run(cfg: &TrialConfig, log: &Logger, watch: Arc<dyn Play>) -> Result<TrialReport, Report<TrialError>> {
+pub fn run(
+    cfg: &TrialConfig,
+    log: &Logger,
+    watch: Arc<dyn PlayObserver>,
+) -> Result<TrialReport, Report<TrialError>> {
     let mut trace = cfg.preset.trace(cfg.seed, cfg.requests);
     add_refusals(&mut trace);
     let drained_at = drained_at(&trace);
@@ -79,7 +83,7 @@
     cfg: &TrialConfig,
     trace: &Trace,
     played: &mut Played,
-    watch: Arc<dyn Play>,
+    watch: Arc<dyn PlayObserver>,
 ) -> Result<Vec<Finished>, Report<TrialError>> {
     let hosts = deployment.entries();
     let entries = hosts.iter().map(|(entry, _)| entry.clone()).collect();
--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -87,7 +87,7 @@
         engines: sources(&args.engine),
         services: sources(&args.service),
     };
-    let verdict = loadgen::judge(&sources, &finished).change_context(CommandError::Failed)?;
+    let verdict = loadgen::check_run(&sources, &finished).change_context(CommandError::Failed)?;
     let broken = verdict.broken();
     show(args, &report(&finished, verdict), load_text);
     if broken == 0 {
--- a/src/cmd/try_it.rs
+++ b/src/cmd/try_it.rs
@@ -3,7 +3,7 @@
 
 use error_stack::{Report, ResultExt};
 use indicatif::{ProgressBar, ProgressStyle};
-use loadgen::{Finished, Play};
+use loadgen::{Finished, PlayObserver};
 use trial::TrialConfig;
 
 use crate::cli::{OutputFormat, TryArgs};
@@ -12,7 +12,7 @@
 /// Shows how many requests have ended.
 struct Progress(ProgressBar);
 
-impl Play for Progress {
+impl PlayObserver for Progress {
     fn finished(&self, _: &Finished) {
         self.0.inc(1);
     }
@@ -35,7 +35,7 @@
         OutputFormat::Table => super::print_text(&trial::report_table(&report)),
         OutputFormat::Json => super::print_json(&report),
     }
-    if report.is_kept() {
+    if report.all_promises_kept() {
         return Ok(());
     }
     Err(Report::new(CommandError::BrokenPromise).change_context(CommandError::Failed))
