--- a/components/load/src/arrival.rs
+++ b/components/load/src/arrival.rs
@@ -3,71 +3,71 @@
 
 use utils::{ModelId, ServiceId, WorkspaceId};
 
-/// Requests with the times at which they are due.
+/// Planned requests with the times at which they are due.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Trace {
-    /// By time.
+    /// Planned requests, sorted by the time at which they are due.
     pub arrivals: Vec<Arrival>,
 }
 
-/// A request that is due.
+/// Planned request of a trace.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Arrival {
-    /// Its number, from 0.
+    /// Number of the request in the trace, from 0.
     pub number: u64,
-    /// When it is due, since the start of the trace.
+    /// Time at which the request is due, from the start of the trace.
     pub at: Duration,
-    /// Workspace of the caller.
+    /// Workspace that the caller belongs to.
     pub workspace: WorkspaceId,
-    /// What it asks for.
+    /// Content of the request.
     pub work: PlannedWork,
 }
 
-/// What a request asks for.
+/// Content of a planned request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlannedWork {
-    /// A draft by a model.
+    /// Draft of a text by a model.
     Draft(PlannedDraft),
-    /// A call to a plain service.
+    /// Call to a plain service.
     Call(PlannedCall),
 }
 
-/// A prompt.
+/// Planned draft.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlannedDraft {
-    /// The model.
+    /// Model that generates the draft.
     pub model: ModelId,
-    /// The prompt.
+    /// Text of the prompt.
     pub prompt: Arc<str>,
-    /// Tokens to ask for.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
 }
 
-/// A call.
+/// Planned call to a plain service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlannedCall {
-    /// The service.
+    /// Service to call.
     pub service: ServiceId,
-    /// Path after the service's name.
+    /// Path below the name of the service.
     pub path: String,
-    /// Idempotency key.
+    /// Idempotency key of the call.
     pub key: String,
-    /// Body, JSON.
+    /// Request body, as JSON.
     pub body: String,
-    /// Whether the call may run more than once.
+    /// Whether the service allows the call to run more than once.
     pub repeatable: bool,
 }
 
 impl Trace {
-    /// Every workspace in the trace, once.
+    /// Returns the workspaces of the trace, sorted and without duplicates.
     pub fn workspaces(&self) -> Vec<WorkspaceId> {
-        let mut all: Vec<_> = self.arrivals.iter().map(|a| a.workspace.clone()).collect();
-        all.sort_unstable();
-        all.dedup();
-        all
+        let mut workspaces: Vec<_> = self.arrivals.iter().map(|a| a.workspace.clone()).collect();
+        workspaces.sort_unstable();
+        workspaces.dedup();
+        workspaces
     }
 
-    /// Time from the start to the last arrival.
+    /// Returns the time from the start of the trace to its last request.
     pub fn duration(&self) -> Duration {
         self.arrivals.last().map_or(Duration::ZERO, |a| a.at)
     }
--- a/components/load/src/caller/call.rs
+++ b/components/load/src/caller/call.rs
@@ -3,18 +3,19 @@
 use bytes::Bytes;
 use checker::{CallBody, CallerRequest, Exchange, Received, Work};
 
-use super::exchange::{Sending, is_worth_repeating, read_rest};
+use super::exchange::{RequestParts, is_retryable, read_rest};
 use super::{Caller, Finished, Timing};
 use crate::{Arrival, PlannedCall};
 
 impl Caller {
+    /// Calls a plain service, with retries under the same idempotency key.
     pub(super) async fn call(&self, arrival: &Arrival, planned: &PlannedCall, due: Instant) -> Finished {
         let mut exchanges: Vec<Exchange> = Vec::new();
         let mut received = Received::default();
         let mut timing = Timing::default();
         for _ in 0..self.cfg.max_exchanges {
             let (exchange, body) = self.call_exchange(arrival, planned).await;
-            let again = is_worth_repeating(&exchange);
+            let retry = is_retryable(&exchange);
             let answered = (200..300).contains(&exchange.status) && exchange.ended_well;
             exchanges.push(exchange);
             if answered {
@@ -22,10 +23,10 @@
                 received.body = body.unwrap_or_default();
                 timing.first = Some(due.elapsed());
             }
-            if answered || !again {
+            if answered || !retry {
                 break;
             }
-            self.pause().await;
+            self.wait_before_retry().await;
         }
         timing.whole = due.elapsed();
         let work = CallBody {
@@ -45,15 +46,16 @@
         Finished { request, timing }
     }
 
+    /// Sends the call once; returns the record of the exchange and the body of the answer.
     async fn call_exchange(&self, arrival: &Arrival, planned: &PlannedCall) -> (Exchange, Option<String>) {
         let path = format!("/v1/services/{}/{}", planned.service, planned.path);
-        let sending = Sending {
+        let parts = RequestParts {
             path: &path,
-            key: self.key(&arrival.workspace),
-            header: Some(("idempotency-key", &planned.key)),
+            api_key: self.api_key(&arrival.workspace),
+            extra_header: Some(("idempotency-key", &planned.key)),
             body: Some(Bytes::from(planned.body.clone())),
         };
-        let (mut exchange, res) = self.exchange(self.next_entry(), &sending).await;
+        let (mut exchange, res) = self.send_request(self.next_entry(), &parts).await;
         let body = match res {
             Some(res) => read_rest(&mut exchange, res).await,
             None => None,
--- a/components/load/src/caller/direct.rs
+++ b/components/load/src/caller/direct.rs
@@ -10,12 +10,12 @@
 use crate::prompt::BYTES_PER_TOKEN;
 use crate::{Arrival, PlannedWork};
 
-/// Sends prompts straight to an engine, as the baseline of a comparison.
+/// Client that sends prompts directly to an engine, as the baseline of a comparison.
 #[derive(Clone)]
 pub(crate) struct DirectCaller {
-    /// The engine.
+    /// Engine that receives the prompts.
     engine: HttpEngine,
-    /// Weight version to ask for.
+    /// Weight version to request.
     weight_version: WeightVersion,
 }
 
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Runs a draft that was due at `due`; `None` for an arrival that is no draft.
+    /// Runs a draft that was due at `due`; returns `None` for an arrival that is not a draft.
     pub(crate) async fn run(
         &self,
         arrival: &Arrival,
@@ -41,18 +41,18 @@
             return Ok(None);
         };
         let mut timing = Timing::default();
-        let mut last = None;
+        let mut last_token_at = None;
         let mut stream = self.engine.draft(req).await?;
         while let Some(event) = stream.next().await? {
             if event.chunk.is_none() {
                 continue;
             }
             let now = Instant::now();
-            match last {
-                Some(last) => timing.between.push(now - last),
+            match last_token_at {
+                Some(last_token_at) => timing.between.push(now - last_token_at),
                 None => timing.first = Some(now - due),
             }
-            last = Some(now);
+            last_token_at = Some(now);
         }
         timing.whole = due.elapsed();
         Ok(Some(timing))
--- a/components/load/src/caller/draft.rs
+++ b/components/load/src/caller/draft.rs
@@ -10,19 +10,19 @@
 use serde_json::json;
 use standins::unix_micros;
 
-use super::exchange::{Sending, is_worth_repeating, read_rest};
+use super::exchange::{RequestParts, is_retryable, read_rest};
 use super::{Caller, Finished, Timing};
 use crate::{Arrival, PlannedDraft};
 
-/// Path of drafts.
+/// Path of the API for drafts.
 const PATH: &str = "/v1/completions";
-/// Data of the event after the last one.
+/// Data of the event that ends a complete stream.
 const DONE: &str = "[DONE]";
 
-/// Longest wait for the end of a body after its last event.
-const END_OF_BODY: Duration = Duration::from_millis(200);
+/// Timeout for the end of a body after its last event.
+const BODY_END_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// An object of a streamed answer, as far as a caller needs it.
+/// Fields of a streamed object that a caller uses.
 #[derive(Deserialize)]
 struct Chunk {
     #[serde(default)]
@@ -30,6 +30,7 @@
     error: Option<Problem>,
 }
 
+/// Fields of a choice in a [`Chunk`] that a caller uses.
 #[derive(Deserialize)]
 struct Choice {
     #[serde(default)]
@@ -37,21 +38,22 @@
     finish_reason: Option<String>,
 }
 
-/// What a caller has so far.
+/// State of a draft over all of its exchanges.
 struct Progress {
-    /// When the request was due.
+    /// Time at which the request was due.
     due: Instant,
-    /// When the last token came.
-    last: Option<Instant>,
-    /// The answer so far.
+    /// Time at which the latest token was received.
+    last_token_at: Option<Instant>,
+    /// Answer received so far.
     received: Received,
-    /// `id` of the last event, for coming back.
-    last_id: Option<String>,
-    /// Latencies so far.
+    /// `id` of the latest event, sent to resume the stream.
+    last_event_id: Option<String>,
+    /// Latencies measured so far.
     timing: Timing,
 }
 
 impl Caller {
+    /// Requests a draft, with retries, and resumes its stream after an interruption.
     pub(super) async fn draft(&self, arrival: &Arrival, planned: &PlannedDraft, due: Instant) -> Finished {
         let body = json!({"model": &*planned.model, "prompt": &*planned.prompt,
             "max_tokens": planned.max_tokens, "stream": true});
@@ -60,12 +62,12 @@
         let mut exchanges = Vec::new();
         for _ in 0..self.cfg.max_exchanges {
             let exchange = self.draft_exchange(arrival, &body, &mut progress).await;
-            let again = is_worth_repeating(&exchange);
+            let retry = is_retryable(&exchange);
             exchanges.push(exchange);
-            if progress.received.whole || !again {
+            if progress.received.whole || !retry {
                 break;
             }
-            self.pause().await;
+            self.wait_before_retry().await;
         }
         progress.timing.whole = due.elapsed();
         let request = CallerRequest {
@@ -85,25 +87,26 @@
         }
     }
 
+    /// Sends the draft once, or resumes it if an event was received before.
     async fn draft_exchange(&self, arrival: &Arrival, body: &Bytes, progress: &mut Progress) -> Exchange {
-        let resume = progress.last_id.clone();
-        let sending = Sending {
+        let resume = progress.last_event_id.clone();
+        let parts = RequestParts {
             path: PATH,
-            key: self.key(&arrival.workspace),
-            header: resume.as_deref().map(|id| ("last-event-id", id)),
+            api_key: self.api_key(&arrival.workspace),
+            extra_header: resume.as_deref().map(|id| ("last-event-id", id)),
             body: resume.is_none().then(|| body.clone()),
         };
-        let (mut exchange, res) = self.exchange(self.next_entry(), &sending).await;
+        let (mut exchange, res) = self.send_request(self.next_entry(), &parts).await;
         exchange.is_resume = resume.is_some();
         match res {
             Some(res) if exchange.status == 200 => {
-                read_stream(res, &mut exchange, progress, self.cfg.patience).await;
+                read_stream(res, &mut exchange, progress, self.cfg.progress_timeout).await;
             }
             Some(res) => {
                 read_rest(&mut exchange, res).await;
-                // The draft can not be resumed: only a new one can still answer.
+                // The draft can not be resumed: a further exchange has to start a new draft.
                 if resume.is_some() && matches!(exchange.status, 410 | 502) {
-                    progress.start_over();
+                    progress.reset();
                 }
             }
             None => {}
@@ -112,28 +115,29 @@
     }
 }
 
+/// Reads the events of a stream until it ends, fails or exceeds `progress_timeout`.
 async fn read_stream(
     res: Response<PooledBody>,
     exchange: &mut Exchange,
     progress: &mut Progress,
-    patience: Duration,
+    progress_timeout: Duration,
 ) {
     let mut reader = SseReader::new(res.into_body());
     loop {
-        let late = async {
-            smol::Timer::after(patience).await;
+        let timeout = async {
+            smol::Timer::after(progress_timeout).await;
             Ok(None)
         };
-        let Ok(Some(event)) = reader.next().or(late).await else {
+        let Ok(Some(event)) = reader.next().or(timeout).await else {
             break;
         };
-        if progress.take(event, exchange) {
-            // Reads the end of the body, so that the connection can be used again.
-            let late = async {
-                smol::Timer::after(END_OF_BODY).await;
+        if progress.apply_event(event, exchange) {
+            // Reads the body to its end, which makes the connection reusable.
+            let timeout = async {
+                smol::Timer::after(BODY_END_TIMEOUT).await;
                 Ok(None)
             };
-            let _ = reader.next().or(late).await;
+            let _ = reader.next().or(timeout).await;
             break;
         }
     }
@@ -144,20 +148,21 @@
     fn new(due: Instant) -> Self {
         Self {
             due,
-            last: None,
+            last_token_at: None,
             received: Received::default(),
-            last_id: None,
+            last_event_id: None,
             timing: Timing::default(),
         }
     }
 
-    fn start_over(&mut self) {
+    /// Discards the partial answer; the latencies stay.
+    fn reset(&mut self) {
         self.received = Received::default();
-        self.last_id = None;
+        self.last_event_id = None;
     }
 
-    /// Takes an event; true after the last one.
-    fn take(&mut self, event: SseEvent, exchange: &mut Exchange) -> bool {
+    /// Applies an event of the stream. Returns whether the stream has ended.
+    fn apply_event(&mut self, event: SseEvent, exchange: &mut Exchange) -> bool {
         if event.data == DONE {
             self.received.whole = true;
             exchange.ended_well = true;
@@ -172,10 +177,10 @@
             exchange.status = problem.status;
             return true;
         }
-        self.last_id = event.id.or(self.last_id.take());
+        self.last_event_id = event.id.or(self.last_event_id.take());
         for choice in chunk.choices {
             if choice.finish_reason.is_none() {
-                self.token(choice.text);
+                self.record_token(choice.text);
             } else {
                 exchange.outcome = Some(Outcome::Ran);
             }
@@ -183,13 +188,14 @@
         false
     }
 
-    fn token(&mut self, text: String) {
+    /// Records a token and its latency.
+    fn record_token(&mut self, text: String) {
         let now = Instant::now();
-        match self.last {
-            Some(last) => self.timing.between.push(now - last),
+        match self.last_token_at {
+            Some(last_token_at) => self.timing.between.push(now - last_token_at),
             None => self.timing.first = Some(now - self.due),
         }
-        self.last = Some(now);
+        self.last_token_at = Some(now);
         self.received.tokens.push(text);
     }
 }
--- a/components/load/src/caller/exchange.rs
+++ b/components/load/src/caller/exchange.rs
@@ -8,30 +8,30 @@
 
 use super::{Caller, Entry};
 
-/// Largest answer that is read whole, in bytes.
+/// Maximum size of an answer that is not streamed, in bytes.
 const MAX_REPLY_BYTES: usize = 16 << 20;
 
-/// What one request over HTTP sends.
-pub(super) struct Sending<'a> {
-    /// Path.
+/// Parts of an HTTP request to an entry host.
+pub(super) struct RequestParts<'a> {
+    /// Path of the request.
     pub(super) path: &'a str,
-    /// API key.
-    pub(super) key: &'a str,
-    /// One more header.
-    pub(super) header: Option<(&'static str, &'a str)>,
-    /// Body; none for a resume.
+    /// API key of the workspace.
+    pub(super) api_key: &'a str,
+    /// Name and value of an additional header.
+    pub(super) extra_header: Option<(&'static str, &'a str)>,
+    /// Request body; `None` to resume a stream.
     pub(super) body: Option<Bytes>,
 }
 
-impl Sending<'_> {
+impl RequestParts<'_> {
     fn request(&self, entry: &Entry) -> Result<Request<Body>, HttpError> {
         let mut req = Request::builder()
             .method("POST")
             .uri(self.path)
             .header("host", entry.address.to_string())
             .header("content-type", "application/json")
-            .header("authorization", format!("Bearer {}", self.key));
-        if let Some((name, value)) = self.header {
+            .header("authorization", format!("Bearer {}", self.api_key));
+        if let Some((name, value)) = self.extra_header {
             req = req.header(name, value);
         }
         let body = self.body.clone().map_or_else(empty_body, full_body);
@@ -40,14 +40,15 @@
 }
 
 impl Caller {
-    /// Sends a request to a host; gives the record of the exchange and the answer, if its head came.
-    pub(super) async fn exchange(
+    /// Sends a request to an entry host. Returns the record of the exchange, and the answer if its head was
+    /// received.
+    pub(super) async fn send_request(
         &self,
         entry: &Entry,
-        sending: &Sending<'_>,
+        parts: &RequestParts<'_>,
     ) -> (Exchange, Option<Response<PooledBody>>) {
-        let mut exchange = begun(entry);
-        let Ok(req) = sending.request(entry) else {
+        let mut exchange = new_exchange(entry);
+        let Ok(req) = parts.request(entry) else {
             return (exchange, None);
         };
         let Ok(res) = self.client.send(entry.address, req).await else {
@@ -56,14 +57,14 @@
         };
         exchange.head_at = Some(unix_micros());
         exchange.status = res.status().as_u16();
-        exchange.outcome = text(res.headers(), OUTCOME_HEADER).parse().ok();
-        exchange.request_id = text(res.headers(), "laburnumtally-request-id").to_owned();
-        exchange.note = text(res.headers(), "laburnumtally-note").parse().ok();
+        exchange.outcome = header_text(res.headers(), OUTCOME_HEADER).parse().ok();
+        exchange.request_id = header_text(res.headers(), "laburnumtally-request-id").to_owned();
+        exchange.note = header_text(res.headers(), "laburnumtally-note").parse().ok();
         (exchange, Some(res))
     }
 }
 
-/// Reads the rest of an answer that is not streamed.
+/// Reads the body of an answer that is not streamed and completes the record of the exchange.
 pub(super) async fn read_rest(exchange: &mut Exchange, res: Response<PooledBody>) -> Option<String> {
     let read = read_limited(res.into_body(), MAX_REPLY_BYTES).await;
     exchange.ended_at = unix_micros();
@@ -75,8 +76,9 @@
     Some(body)
 }
 
-/// Whether a caller may come back after an exchange, because nothing ran or because the same key is safe.
-pub(super) fn is_worth_repeating(exchange: &Exchange) -> bool {
+/// Returns whether a request may be retried after an exchange: either it did not run, or the same idempotency
+/// key makes a retry safe.
+pub(super) fn is_retryable(exchange: &Exchange) -> bool {
     match exchange.status {
         0 | 409 | 429 | 502 | 503 => true,
         504 => exchange.outcome == Some(Outcome::NotRun),
@@ -84,7 +86,8 @@
     }
 }
 
-fn begun(entry: &Entry) -> Exchange {
+/// Returns the record of an exchange that starts now.
+fn new_exchange(entry: &Entry) -> Exchange {
     let now = unix_micros();
     Exchange {
         host: entry.id.clone(),
@@ -100,7 +103,8 @@
     }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
+/// Returns the value of a header; empty if it is missing or not text.
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
     headers
         .get(name)
         .and_then(|v| v.to_str().ok())
--- a/components/load/src/caller/mod.rs
+++ b/components/load/src/caller/mod.rs
@@ -1,4 +1,4 @@
-//! A caller as the system's users have them: it comes back when a connection breaks.
+//! Client of the entry hosts that retries requests and resumes streams when a connection breaks.
 
 mod call;
 mod direct;
@@ -19,19 +19,19 @@
 
 use crate::{Arrival, PlannedWork};
 
-/// An entry host that callers know.
+/// Entry host that callers send requests to.
 #[derive(Debug, Clone)]
 pub struct Entry {
-    /// Its name.
+    /// Name of the host.
     pub id: HostId,
-    /// Where it takes callers' requests.
+    /// Address of the listener for callers.
     pub address: SocketAddr,
-    /// Whether the balancer sends new requests to it.
+    /// Whether the balancer sends new requests to the host.
     pub ready: Arc<AtomicBool>,
 }
 
 impl Entry {
-    /// A host that is ready.
+    /// Creates an entry host that is marked as ready.
     pub fn new(id: impl Into<HostId>, address: SocketAddr) -> Self {
         Self {
             id: id.into(),
@@ -44,78 +44,78 @@
 /// Settings of a [`Caller`].
 #[derive(Debug, Clone)]
 pub struct CallerConfig {
-    /// Entry hosts; requests go round.
+    /// Entry hosts, used in round-robin order.
     pub entries: Vec<Entry>,
     /// API keys by workspace.
     pub keys: HashMap<WorkspaceId, String>,
-    /// Exchanges that a caller tries for one request.
+    /// Maximum number of exchanges for one request.
     pub max_exchanges: u32,
-    /// Wait before a caller comes back.
-    pub pause: Duration,
-    /// Longest wait for the head of an answer, and between two events.
-    pub patience: Duration,
+    /// Delay before a retry.
+    pub retry_delay: Duration,
+    /// Timeout for the head of an answer and for each further event of a stream.
+    pub progress_timeout: Duration,
 }
 
 impl CallerConfig {
-    /// Settings for callers of these hosts.
+    /// Returns the default settings for callers of the given hosts.
     pub fn new(entries: Vec<Entry>, keys: HashMap<WorkspaceId, String>) -> Self {
         Self {
             entries,
             keys,
             max_exchanges: 8,
-            pause: Duration::from_millis(100),
-            patience: Duration::from_secs(10),
+            retry_delay: Duration::from_millis(100),
+            progress_timeout: Duration::from_secs(10),
         }
     }
 }
 
-/// Sends requests to entry hosts, in turn.
+/// Client that sends requests to entry hosts in round-robin order, and retries and resumes them.
 #[derive(Clone)]
 pub struct Caller {
     /// Settings.
     cfg: Arc<CallerConfig>,
-    /// Sends the requests.
+    /// HTTP client with its connections.
     client: Client,
-    /// Counts requests, for the turn of the hosts.
-    turn: Arc<AtomicUsize>,
+    /// Number of exchanges so far; selects the next entry host.
+    next_index: Arc<AtomicUsize>,
 }
 
-/// A request that ended.
+/// Request that has ended.
 #[derive(Debug, Clone)]
 pub struct Finished {
-    /// What the caller asked for and saw.
+    /// Request and answer as the caller saw them, for the checker.
     pub request: CallerRequest,
-    /// How long it took.
+    /// Latencies of the request.
     pub timing: Timing,
 }
 
-/// How long a request took, counted from when it was due.
+/// Latencies of a request, measured from when it was due.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Timing {
-    /// Until the first token, or the head of a call's answer.
+    /// Time until the first token of a draft or the whole answer to a call.
     pub first: Option<Duration>,
-    /// Between tokens.
+    /// Times between successive tokens.
     pub between: Vec<Duration>,
-    /// Until the end.
+    /// Time until the request ended, with all retries.
     pub whole: Duration,
 }
 
 impl Caller {
-    /// A caller whose connections run on `ex`.
+    /// Creates a caller whose connections run on `ex`.
     pub fn new(ex: &Executor, cfg: CallerConfig) -> Self {
-        let client = ClientConfig {
-            response_timeout: cfg.patience,
+        let client_cfg = ClientConfig {
+            response_timeout: cfg.progress_timeout,
             idle_per_address: 4_096,
             ..ClientConfig::default()
         };
         Self {
-            client: Client::new(ex.clone(), client),
+            client: Client::new(ex.clone(), client_cfg),
             cfg: Arc::new(cfg),
-            turn: Arc::default(),
+            next_index: Arc::default(),
         }
     }
 
-    /// Makes a request that was due at `due` and follows it to its end.
+    /// Sends a request that was due at `due`, with retries, until it is answered or no retry is left.
     pub async fn run(&self, arrival: &Arrival, due: std::time::Instant) -> Finished {
         match &arrival.work {
             PlannedWork::Draft(planned) => self.draft(arrival, planned, due).await,
@@ -123,22 +123,22 @@
         }
     }
 
-    /// The next host in turn that is ready, or any if none is.
+    /// Returns the next entry host that is ready in round-robin order; if none is ready, the next one.
     fn next_entry(&self) -> &Entry {
         let entries = &self.cfg.entries;
-        let turn = self.turn.fetch_add(1, Ordering::Relaxed);
-        let in_turn = |i: usize| &entries[(turn + i) % entries.len()];
+        let start = self.next_index.fetch_add(1, Ordering::Relaxed);
+        let entry_at = |i: usize| &entries[(start + i) % entries.len()];
         let ready = (0..entries.len())
-            .map(in_turn)
+            .map(entry_at)
             .find(|e| e.ready.load(Ordering::Relaxed));
-        ready.unwrap_or_else(|| in_turn(0))
+        ready.unwrap_or_else(|| entry_at(0))
     }
 
-    fn key(&self, workspace: &WorkspaceId) -> &str {
+    fn api_key(&self, workspace: &WorkspaceId) -> &str {
         self.cfg.keys.get(workspace).map_or("", String::as_str)
     }
 
-    async fn pause(&self) {
-        smol::Timer::after(self.cfg.pause).await;
+    async fn wait_before_retry(&self) {
+        smol::Timer::after(self.cfg.retry_delay).await;
     }
 }
--- a/components/load/src/compare.rs
+++ b/components/load/src/compare.rs
@@ -11,41 +11,41 @@
 use crate::runner::{play_blocking, sleep_until};
 use crate::{CallerConfig, Latencies, LatencySummary, LoadError, Trace};
 
-/// Settings of a comparison.
+/// Settings of [`compare`].
 #[derive(Debug, Clone)]
 pub struct CompareConfig {
-    /// The engine that both ways lead to.
+    /// Address of the engine that serves both the direct requests and those through entry hosts.
     pub engine: SocketAddr,
-    /// Weight version that it has loaded.
+    /// Weight version that the engine has loaded.
     pub weight_version: WeightVersion,
-    /// The way through entry hosts.
+    /// Settings of the callers that send through entry hosts.
     pub callers: CallerConfig,
-    /// Requests at the start that are not counted.
+    /// Requests at the start of the trace whose latencies are not counted.
     pub warm_up: usize,
 }
 
-/// Latencies of both ways, from one run side by side.
+/// Latencies of direct requests and of requests through an entry host, measured in the same run.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize)]
 pub struct Comparison {
-    /// Straight to the engine.
+    /// Latencies of the requests that go directly to the engine.
     pub direct: LatencySummary,
-    /// Through the entry host.
+    /// Latencies of the requests through the entry host.
     pub entry: LatencySummary,
-    /// By how much the first token came later, at the median, in milliseconds.
+    /// Median time to the first token through the entry host minus the direct median, in milliseconds.
     pub first_token_later_p50_ms: f64,
-    /// The same at the 99th percentile.
+    /// Difference of the 99th percentiles of the time to the first token, in milliseconds.
     pub first_token_later_p99_ms: f64,
-    /// Requests through the entry host that did not end whole.
+    /// Incomplete requests through the entry host, without the warm-up.
     pub failed: usize,
-    /// Requests straight to the engine that did not end whole.
+    /// Failed direct requests, with those of the warm-up.
     pub direct_failed: usize,
 }
 
-/// Sends the same trace straight to an engine and through entry hosts, at the same time, from two threads.
+/// Sends the same trace directly to an engine and through entry hosts, at the same time, from two threads.
 ///
 /// # Errors
-/// [`LoadError::Thread`] if a thread can not run.
+/// Returns [`LoadError::Thread`] if a thread panics.
 pub fn compare(cfg: &CompareConfig, trace: &Trace) -> Result<Comparison, Report<LoadError>> {
     let (direct, entry) = std::thread::scope(|scope| {
         let direct = scope.spawn(|| play_direct(cfg, trace));
@@ -58,8 +58,8 @@
         .attach("entry")?;
     let mut latencies = Latencies::default();
     let counted = finished.iter().skip(cfg.warm_up);
-    for one in counted.clone().filter(|f| f.request.received.whole) {
-        latencies.add(&one.timing);
+    for complete in counted.clone().filter(|f| f.request.received.whole) {
+        latencies.add(&complete.timing);
     }
     let failed = counted.filter(|f| !f.request.received.whole).count();
     let (direct, entry) = (direct.summary(), latencies.summary());
--- a/components/load/src/lib.rs
+++ b/components/load/src/lib.rs
@@ -1,4 +1,7 @@
-//! Load for a running system: seeded traces, callers that come back, latencies and the nine promises.
+//! Load generation for a running system.
+//!
+//! Generates seeded traces, sends their requests with callers that retry and resume, measures latencies and
+//! checks the nine promises.
 
 mod arrival;
 mod caller;
--- a/components/load/src/prompt.rs
+++ b/components/load/src/prompt.rs
@@ -2,11 +2,11 @@
 
 /// Bytes of text that the system counts as one token.
 pub(crate) const BYTES_PER_TOKEN: usize = 4;
-/// Bytes of one generated word with its space.
+/// Bytes of a generated word with the space after it.
 const WORD_BYTES: usize = 8;
 
-/// Text of about `tokens` tokens that no other seed shares.
-pub(crate) fn text(seed: u64, tokens: u32) -> String {
+/// Generates text of about `tokens` tokens that differs between seeds.
+pub(crate) fn generate_text(seed: u64, tokens: u32) -> String {
     let words = (tokens as usize * BYTES_PER_TOKEN).div_ceil(WORD_BYTES);
     let mut text = String::with_capacity(words * WORD_BYTES);
     let mut state = seed;
--- a/components/load/src/records.rs
+++ b/components/load/src/records.rs
@@ -11,34 +11,34 @@
 
 use crate::{Finished, LoadError};
 
-/// Stand-ins whose records are read after a run.
+/// Addresses of the stand-ins whose records are read after a run.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RecordSources {
-    /// Engines.
+    /// Engines, by name.
     pub engines: Vec<(TargetId, SocketAddr)>,
-    /// Services.
+    /// Plain services, by name.
     pub services: Vec<(TargetId, SocketAddr)>,
 }
 
-/// Reads the stand-ins' records and judges the run.
+/// Reads the records of the stand-ins and checks the run against the promises.
 ///
 /// # Errors
-/// [`LoadError::NoRecord`] if a stand-in does not hand out its record.
+/// Returns [`LoadError::NoRecord`] if the record of a stand-in can not be read.
 pub fn check_run(sources: &RecordSources, finished: &[Finished]) -> Result<Verdict, Report<LoadError>> {
     let ex: Executor = Arc::new(smol::Executor::new());
     let client = Client::new(ex.clone(), ClientConfig::default());
     let record = smol::block_on(ex.run(async {
         Ok::<_, Report<LoadError>>(RunRecord {
-            requests: finished.iter().map(|one| one.request.clone()).collect(),
-            engines: read_all(&client, &sources.engines).await?,
-            services: read_all(&client, &sources.services).await?,
+            requests: finished.iter().map(|f| f.request.clone()).collect(),
+            engines: read_records(&client, &sources.engines).await?,
+            services: read_records(&client, &sources.services).await?,
             ..RunRecord::default()
         })
     }))?;
     Ok(check(&record, Grace::default()))
 }
 
-async fn read_all<T: DeserializeOwned>(
+async fn read_records<T: DeserializeOwned>(
     client: &Client,
     sources: &[(TargetId, SocketAddr)],
 ) -> Result<BTreeMap<TargetId, T>, Report<LoadError>> {
--- a/components/load/src/runner.rs
+++ b/components/load/src/runner.rs
@@ -5,9 +5,9 @@
 
 use crate::{Arrival, Caller, CallerConfig, Finished, Trace};
 
-/// What playing a trace is told about.
+/// Observer of the requests of a trace that is being played.
 pub trait PlayObserver: Send + Sync {
-    /// A request ended.
+    /// Called after a request has ended.
     fn finished(&self, finished: &Finished) {
         let _ = finished;
     }
@@ -15,37 +15,49 @@
 
 impl PlayObserver for () {}
 
-/// Plays a trace open-loop: each request starts when it is due, however long earlier ones take.
+/// Plays a trace in an open loop and returns its requests in the order of the trace.
+///
+/// Each request starts when it is due, whether or not earlier requests have ended.
 pub async fn play(
     ex: &Executor,
     caller: &Caller,
     trace: &Trace,
-    watch: Arc<dyn PlayObserver>,
+    observer: Arc<dyn PlayObserver>,
 ) -> Vec<Finished> {
     let start = Instant::now();
     let mut tasks = Vec::with_capacity(trace.arrivals.len());
     for arrival in &trace.arrivals {
         let due = start + arrival.at;
         sleep_until(due).await;
-        tasks.push(ex.spawn(one(caller.clone(), arrival.clone(), due, watch.clone())));
+        tasks.push(ex.spawn(run_arrival(
+            caller.clone(),
+            arrival.clone(),
+            due,
+            observer.clone(),
+        )));
     }
-    let mut all = Vec::with_capacity(tasks.len());
+    let mut finished = Vec::with_capacity(tasks.len());
     for task in tasks {
-        all.push(task.await);
+        finished.push(task.await);
     }
-    all
+    finished
 }
 
-/// As [`play`], on an executor of its own.
-pub fn play_blocking(cfg: &CallerConfig, trace: &Trace, watch: Arc<dyn PlayObserver>) -> Vec<Finished> {
+/// Plays a trace like [`play`], on a new executor, and blocks until all requests have ended.
+pub fn play_blocking(cfg: &CallerConfig, trace: &Trace, observer: Arc<dyn PlayObserver>) -> Vec<Finished> {
     let ex: Executor = Arc::new(smol::Executor::new());
     let caller = Caller::new(&ex, cfg.clone());
-    smol::block_on(ex.run(play(&ex, &caller, trace, watch)))
+    smol::block_on(ex.run(play(&ex, &caller, trace, observer)))
 }
 
-async fn one(caller: Caller, arrival: Arrival, due: Instant, watch: Arc<dyn PlayObserver>) -> Finished {
+async fn run_arrival(
+    caller: Caller,
+    arrival: Arrival,
+    due: Instant,
+    observer: Arc<dyn PlayObserver>,
+) -> Finished {
     let finished = caller.run(&arrival, due).await;
-    watch.finished(&finished);
+    observer.finished(&finished);
     finished
 }
 
--- a/components/load/src/saturate.rs
+++ b/components/load/src/saturate.rs
@@ -6,104 +6,113 @@
 
 use crate::{Arrival, Caller, CallerConfig, Latencies, LatencySummary, Trace};
 
-/// Requests a second that a system answers when callers do not wait.
+/// Throughput of a system under callers that send their next request as soon as the last one has ended.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize)]
 pub struct Saturation {
-    /// Callers at once.
+    /// Concurrent callers.
     pub callers: usize,
-    /// Whole answers a second.
+    /// Complete answers per second.
     pub answers_per_second: f64,
-    /// Requests that did not end whole.
+    /// Requests without a complete answer.
     pub failed: u64,
-    /// HTTP status of the last exchange of each of those, 0 without an answer.
+    /// HTTP status of the last exchange of each failed request; 0 if there was no answer.
     pub failed_statuses: Vec<u16>,
-    /// Latencies, counted from the sending of each request.
+    /// Latencies of the complete answers, measured from when each request was sent.
     pub latencies: LatencySummary,
 }
 
-/// Streams held open at once.
+/// Result of [`hold_streams`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct OpenStreams {
-    /// Streams that were to be open.
+    /// Streams that were requested.
     pub wanted: usize,
-    /// Streams that ended whole.
+    /// Streams that completed.
     pub whole: usize,
 }
 
-/// Lets so many callers send one request after another, for a time.
-pub fn saturate(cfg: &CallerConfig, trace: &Trace, callers: usize, time: Duration) -> Saturation {
+/// Measures throughput in a closed loop.
+///
+/// Each of `callers` concurrent callers sends its share of the trace over and over, one request after
+/// another, and starts no new request once `duration` has passed.
+pub fn saturate(cfg: &CallerConfig, trace: &Trace, callers: usize, duration: Duration) -> Saturation {
     let ex: Executor = Arc::new(smol::Executor::new());
     let caller = Caller::new(&ex, cfg.clone());
-    let until = Instant::now() + time;
-    let began = Instant::now();
-    let parts = smol::block_on(ex.run(async {
-        let share = |i: usize| trace.arrivals.iter().skip(i).step_by(callers).cloned().collect();
+    let deadline = Instant::now() + duration;
+    let started_at = Instant::now();
+    let results = smol::block_on(ex.run(async {
+        let share_of = |i: usize| trace.arrivals.iter().skip(i).step_by(callers).cloned().collect();
         let tasks: Vec<_> = (0..callers)
-            .map(|i| ex.spawn(closed_loop(caller.clone(), share(i), until)))
+            .map(|i| ex.spawn(closed_loop(caller.clone(), share_of(i), deadline)))
             .collect();
-        let mut parts = Vec::new();
+        let mut results = Vec::new();
         for task in tasks {
-            parts.push(task.await);
+            results.push(task.await);
         }
-        parts
+        results
     }));
     let mut latencies = Latencies::default();
     let (mut answers, mut failed_statuses) = (0_u64, Vec::new());
-    for part in parts {
-        let _ = latencies.first.add(part.latencies.first);
-        let _ = latencies.between.add(part.latencies.between);
-        let _ = latencies.whole.add(part.latencies.whole);
-        answers += part.whole;
-        failed_statuses.extend(part.failed_statuses);
+    for result in results {
+        let _ = latencies.first.add(result.latencies.first);
+        let _ = latencies.between.add(result.latencies.between);
+        let _ = latencies.whole.add(result.latencies.whole);
+        answers += result.complete;
+        failed_statuses.extend(result.failed_statuses);
     }
     Saturation {
         callers,
-        answers_per_second: answers as f64 / began.elapsed().as_secs_f64(),
+        answers_per_second: answers as f64 / started_at.elapsed().as_secs_f64(),
         failed: failed_statuses.len() as u64,
         failed_statuses,
         latencies: latencies.summary(),
     }
 }
 
-/// What one caller of a closed loop saw.
-struct Part {
-    whole: u64,
+/// Results of one caller of a closed loop.
+struct CallerResult {
+    /// Number of complete answers.
+    complete: u64,
+    /// HTTP status of the last exchange of each failed request; 0 if there was no answer.
     failed_statuses: Vec<u16>,
+    /// Latencies of the complete answers.
     latencies: Latencies,
 }
 
-async fn closed_loop(caller: Caller, arrivals: Vec<Arrival>, until: Instant) -> Part {
-    let mut part = Part {
-        whole: 0,
+async fn closed_loop(caller: Caller, arrivals: Vec<Arrival>, deadline: Instant) -> CallerResult {
+    let mut result = CallerResult {
+        complete: 0,
         failed_statuses: Vec::new(),
         latencies: Latencies::default(),
     };
     for arrival in arrivals.iter().cycle() {
-        if Instant::now() >= until {
+        if Instant::now() >= deadline {
             break;
         }
         let finished = caller.run(arrival, Instant::now()).await;
         if finished.request.received.whole {
-            part.whole += 1;
-            part.latencies.add(&finished.timing);
+            result.complete += 1;
+            result.latencies.add(&finished.timing);
         } else {
             let last = finished.request.exchanges.last();
-            part.failed_statuses
+            result
+                .failed_statuses
                 .push(last.map_or(0, |exchange| exchange.status));
         }
     }
-    part
+    result
 }
 
-/// Opens all requests of a trace at once, calls `opened` when every first token is there, then follows them to
-/// their end.
+/// Starts all requests of a trace at once, calls `on_open` after `settle_time` and waits until all requests
+/// have ended.
+///
+/// `settle_time` has to be long enough for all streams to be open.
 pub fn hold_streams(
     cfg: &CallerConfig,
     trace: &Trace,
-    settle: Duration,
-    opened: impl FnOnce(),
+    settle_time: Duration,
+    on_open: impl FnOnce(),
 ) -> OpenStreams {
     let ex: Executor = Arc::new(smol::Executor::new());
     let caller = Caller::new(&ex, cfg.clone());
@@ -113,8 +122,8 @@
             async move { caller.run(&arrival, Instant::now()).await }
         };
         let tasks: Vec<_> = trace.arrivals.iter().cloned().map(|a| ex.spawn(run(a))).collect();
-        smol::Timer::after(settle).await;
-        opened();
+        smol::Timer::after(settle_time).await;
+        on_open();
         let mut whole = 0;
         for task in tasks {
             whole += usize::from(task.await.request.received.whole);
--- a/components/load/src/stats.rs
+++ b/components/load/src/stats.rs
@@ -5,19 +5,19 @@
 
 use crate::Timing;
 
-/// Largest latency that is told apart, in microseconds.
-const MAX_MICROS: u64 = 120_000_000;
-/// Significant digits of a latency.
-const DIGITS: u8 = 3;
+/// Upper bound of the histograms, in microseconds; longer latencies are recorded as this value.
+const MAX_LATENCY_MICROS: u64 = 120_000_000;
+/// Significant decimal digits that the histograms keep.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Latencies of many requests.
+/// Histograms of the latencies of many requests, in microseconds.
 #[derive(Debug, Clone)]
 pub struct Latencies {
-    /// Until the first token or answer.
+    /// Time from when a request is due until the first token of a draft or the answer to a call.
     pub first: Histogram<u64>,
-    /// Between tokens.
+    /// Time between two successive tokens of a draft.
     pub between: Histogram<u64>,
-    /// Until the end.
+    /// Time from when a request is due until it ends.
     pub whole: Histogram<u64>,
 }
 
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 #[derive(Serialize)]
 pub struct Quantiles {
-    /// Values that were recorded.
+    /// Number of recorded values.
     pub count: u64,
     /// Median.
     pub p50: f64,
@@ -33,19 +33,19 @@
     pub p95: f64,
     /// 99th percentile.
     pub p99: f64,
-    /// Largest.
+    /// Maximum.
     pub max: f64,
 }
 
-/// Quantiles of all kinds of latency.
+/// Quantiles of every kind of latency in [`Latencies`].
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 #[derive(Serialize)]
 pub struct LatencySummary {
-    /// Until the first token or answer.
+    /// Time until the first token of a draft or the answer to a call.
     pub first: Quantiles,
-    /// Between tokens.
+    /// Time between two successive tokens of a draft.
     pub between: Quantiles,
-    /// Until the end.
+    /// Time until the request ends.
     pub whole: Quantiles,
 }
 
@@ -60,7 +60,7 @@
 }
 
 impl Latencies {
-    /// Adds one request.
+    /// Records the latencies of a request.
     ///
     /// ```
     /// use std::time::Duration;
@@ -83,7 +83,7 @@
         record(&mut self.whole, timing.whole);
     }
 
-    /// The quantiles.
+    /// Returns the quantiles of the recorded latencies.
     pub fn summary(&self) -> LatencySummary {
         LatencySummary {
             first: quantiles(&self.first),
@@ -94,7 +94,7 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_max(MAX_MICROS, DIGITS).expect("the bounds are valid")
+    Histogram::new_with_max(MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS).expect("the bounds are valid")
 }
 
 fn record(histogram: &mut Histogram<u64>, value: Duration) {
--- a/components/load/src/table.rs
+++ b/components/load/src/table.rs
@@ -3,6 +3,7 @@
 
 use crate::{LatencySummary, Quantiles};
 
+/// Quantiles of one kind of latency as the columns of the table, in milliseconds.
 #[derive(Tabled)]
 struct Row {
     latency: &'static str,
@@ -17,7 +18,7 @@
     max: String,
 }
 
-/// Latencies as a table for a terminal.
+/// Formats latencies as a table for a terminal.
 ///
 /// ```
 /// let table = loadgen::latency_table(&loadgen::LatencySummary::default());
@@ -33,13 +34,13 @@
 }
 
 fn row(latency: &'static str, quantiles: &Quantiles) -> Row {
-    let text = |ms: f64| format!("{ms:.3}");
+    let format_ms = |ms: f64| format!("{ms:.3}");
     Row {
         latency,
         count: quantiles.count,
-        p50: text(quantiles.p50),
-        p95: text(quantiles.p95),
-        p99: text(quantiles.p99),
-        max: text(quantiles.max),
+        p50: format_ms(quantiles.p50),
+        p95: format_ms(quantiles.p95),
+        p99: format_ms(quantiles.p99),
+        max: format_ms(quantiles.max),
     }
 }
