--- a/components/trial/examples/entry_overhead.rs
+++ b/components/trial/examples/entry_overhead.rs
@@ -1,19 +1,22 @@
-//! Measures what the way through an entry host costs: `compare`, `saturate` or `streams`.
+//! Measures the overhead of an entry host.
+//!
+//! The argument chooses the measurement: `compare` (the default) for the added latency, `saturate` for the
+//! throughput, `streams` for the memory of open streams.
 
 use std::time::Duration;
 
 use loadgen::{CompareConfig, Preset, compare, hold_streams, latency_table, saturate};
 use trial::SingleEntry;
 
-/// Seed of every trace here.
+/// Seed of all traces.
 const SEED: u64 = 1;
-/// Requests of a comparison, at 500 a second.
+/// Requests of the trace for `compare` and `saturate`; `compare` sends 500 per second.
 const REQUESTS: u64 = 7_500;
-/// Requests at the start that are not counted.
+/// Requests at the start of a comparison whose latencies are not counted.
 const WARM_UP: usize = 1_000;
-/// Callers of the saturation.
+/// Concurrent callers of `saturate`.
 const CALLERS: usize = 64;
-/// Streams held open.
+/// Streams that `streams` holds open.
 const STREAMS: u64 = 2_000;
 
 fn main() {
@@ -35,12 +38,12 @@
         warm_up: WARM_UP,
     };
     let found = compare(&cfg, &trace).expect("the threads run");
-    println!("straight to the engine, {} failed", found.direct_failed);
+    println!("directly to the engine: {} failed", found.direct_failed);
     println!("{}", latency_table(&found.direct));
-    println!("through the entry host, {} failed", found.failed);
+    println!("through the entry host: {} failed", found.failed);
     println!("{}", latency_table(&found.entry));
     println!(
-        "first token later by {:.3} ms at the median, {:.3} ms at p99",
+        "added time to the first token: {:.3} ms at the median, {:.3} ms at p99",
         found.first_token_later_p50_ms, found.first_token_later_p99_ms
     );
     single.stop().expect("the threads end");
@@ -52,7 +55,7 @@
     let single = start(&preset, &trace, Duration::ZERO);
     let found = saturate(single.callers(), &trace, CALLERS, Duration::from_secs(8));
     println!(
-        "{:.0} answers a second with {} callers, {} failed, last statuses {:?}",
+        "{:.0} answers per second with {} callers, {} failed, last statuses {:?}",
         found.answers_per_second, found.callers, found.failed, found.failed_statuses
     );
     println!("{}", latency_table(&found.latencies));
@@ -69,9 +72,10 @@
     let held = hold_streams(single.callers(), &trace, Duration::from_secs(5), || {
         open = resident_kib()
     });
-    println!("{} of {} streams ended whole", held.whole, held.wanted);
+    println!("{} of {} streams completed", held.whole, held.wanted);
     println!(
-        "resident memory of callers, engine and entry host together: {before} KiB before, {open} KiB with all open, {} KiB for each stream",
+        "resident memory of callers, engine and entry host together: \
+         {before} KiB before, {open} KiB with all streams open, {} KiB per stream",
         open.saturating_sub(before) / STREAMS
     );
     single.stop().expect("the threads end");
@@ -82,7 +86,7 @@
     SingleEntry::start(preset, trace, time_per_output_token, &log).expect("the deployment starts")
 }
 
-/// Resident memory of this process, in KiB.
+/// Returns the resident memory of this process, in KiB.
 fn resident_kib() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
--- a/components/trial/src/balancer.rs
+++ b/components/trial/src/balancer.rs
@@ -9,16 +9,16 @@
 
 use crate::TrialError;
 
-/// Time between two questions whether a host is ready.
-const INTERVAL: Duration = Duration::from_millis(50);
-/// Longest wait for the hosts at the start.
-const READY_LIMIT: Duration = Duration::from_secs(10);
+/// Interval between two readiness checks.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Timeout for all hosts to become ready at the start.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Asks entry hosts whether they are ready, as the platform's balancer does.
+/// Polls the readiness of entry hosts, like the load balancer of the platform.
 pub(crate) struct Balancer {
-    /// Sends the questions.
+    /// Client for the readiness checks.
     client: Client,
-    /// Hosts with their operators' addresses.
+    /// Entry hosts with the addresses of their listeners for operators.
     hosts: Vec<(Entry, SocketAddr)>,
 }
 
@@ -34,11 +34,11 @@
         }
     }
 
-    /// Waits until every host is ready.
-    pub(crate) async fn wait(&self) -> Result<(), Report<TrialError>> {
-        let began = Instant::now();
-        while began.elapsed() < READY_LIMIT {
-            self.ask_all().await;
+    /// Polls until every host is ready, at most for [`READY_TIMEOUT`].
+    pub(crate) async fn wait_until_ready(&self) -> Result<(), Report<TrialError>> {
+        let started_at = Instant::now();
+        while started_at.elapsed() < READY_TIMEOUT {
+            self.update_readiness().await;
             if self
                 .hosts
                 .iter()
@@ -46,20 +46,21 @@
             {
                 return Ok(());
             }
-            smol::Timer::after(INTERVAL).await;
+            smol::Timer::after(POLL_INTERVAL).await;
         }
         Err(Report::new(TrialError::NotReady))
     }
 
-    /// Asks again and again.
-    pub(crate) async fn watch(&self) {
+    /// Polls readiness without end.
+    pub(crate) async fn poll(&self) {
         loop {
-            self.ask_all().await;
-            smol::Timer::after(INTERVAL).await;
+            self.update_readiness().await;
+            smol::Timer::after(POLL_INTERVAL).await;
         }
     }
 
-    async fn ask_all(&self) {
+    /// Checks the readiness of each host and stores the result in its [`Entry`].
+    async fn update_readiness(&self) {
         for (entry, operators) in &self.hosts {
             entry
                 .ready
--- a/components/trial/src/deployment.rs
+++ b/components/trial/src/deployment.rs
@@ -17,52 +17,52 @@
 use utils::{RegionId, SystemClock, TargetId};
 
 use crate::TrialError;
-use crate::settings::{Place, loopback, settings};
+use crate::settings::{HostSpec, loopback, settings};
 
-/// Longest wait until a note is in force.
-const NOTE_PATIENCE: Duration = Duration::from_secs(15);
-/// Region with two failure domains.
-const NEAR: &str = "region-1";
-/// Region behind the paid link.
-const FAR: &str = "region-2";
+/// Timeout for putting a release note into force.
+const NOTE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Main region, with two failure domains.
+const MAIN_REGION: &str = "region-1";
+/// Second region, reached over a link whose traffic is paid for.
+const REMOTE_REGION: &str = "region-2";
 
-/// What a deployment consists of.
+/// Hosts of a deployment.
 pub(crate) struct Layout {
     /// Entry hosts.
-    pub(crate) entries: Vec<Place>,
+    pub(crate) entries: Vec<HostSpec>,
     /// Engines.
-    pub(crate) engines: Vec<Place>,
-    /// Ledger servers.
-    pub(crate) services: Vec<Place>,
+    pub(crate) engines: Vec<HostSpec>,
+    /// Servers of the plain service.
+    pub(crate) services: Vec<HostSpec>,
     /// Store hosts.
-    pub(crate) stores: Vec<Place>,
-    /// Settings of every engine but its name and model.
+    pub(crate) stores: Vec<HostSpec>,
+    /// Settings of all engines, except name and models.
     pub(crate) engine: EngineConfig,
 }
 
 impl Layout {
-    /// Two regions, with times as on small accelerators.
+    /// Returns a deployment in two regions whose engines have the token times of small accelerators.
     pub(crate) fn trial() -> Self {
         Self {
             entries: vec![
-                place("entry-1", NEAR, "domain-1"),
-                place("entry-2", NEAR, "domain-2"),
-                place("entry-3", FAR, "domain-3"),
+                host_spec("entry-1", MAIN_REGION, "domain-1"),
+                host_spec("entry-2", MAIN_REGION, "domain-2"),
+                host_spec("entry-3", REMOTE_REGION, "domain-3"),
             ],
             engines: vec![
-                place("engine-1", NEAR, "domain-1"),
-                place("engine-2", NEAR, "domain-2"),
-                place("engine-3", NEAR, "domain-1"),
-                place("engine-4", FAR, "domain-3"),
-                place("engine-5", FAR, "domain-3"),
+                host_spec("engine-1", MAIN_REGION, "domain-1"),
+                host_spec("engine-2", MAIN_REGION, "domain-2"),
+                host_spec("engine-3", MAIN_REGION, "domain-1"),
+                host_spec("engine-4", REMOTE_REGION, "domain-3"),
+                host_spec("engine-5", REMOTE_REGION, "domain-3"),
             ],
             services: vec![
-                place("ledger-1", NEAR, "domain-1"),
-                place("ledger-2", NEAR, "domain-2"),
+                host_spec("ledger-1", MAIN_REGION, "domain-1"),
+                host_spec("ledger-2", MAIN_REGION, "domain-2"),
             ],
             stores: vec![
-                place("store-1", NEAR, "domain-1"),
-                place("store-2", FAR, "domain-3"),
+                host_spec("store-1", MAIN_REGION, "domain-1"),
+                host_spec("store-2", REMOTE_REGION, "domain-3"),
             ],
             engine: EngineConfig {
                 time_per_prompt_token: Duration::from_micros(10),
@@ -75,11 +75,11 @@
         }
     }
 
-    /// One entry host and one engine that takes so long for a token.
+    /// Returns a deployment of one entry host and one engine that takes `time_per_output_token` per token.
     pub(crate) fn single(time_per_output_token: Duration) -> Self {
         Self {
-            entries: vec![place("entry-1", NEAR, "domain-1")],
-            engines: vec![place("engine-1", NEAR, "domain-1")],
+            entries: vec![host_spec("entry-1", MAIN_REGION, "domain-1")],
+            engines: vec![host_spec("engine-1", MAIN_REGION, "domain-1")],
             services: vec![],
             stores: vec![],
             engine: EngineConfig {
@@ -91,43 +91,43 @@
     }
 }
 
-const fn place(id: &'static str, region: &'static str, failure_domain: &'static str) -> Place {
-    Place {
+const fn host_spec(id: &'static str, region: &'static str, failure_domain: &'static str) -> HostSpec {
+    HostSpec {
         id,
         region,
         failure_domain,
     }
 }
 
-/// Stand-ins and entry hosts in one process.
+/// Running stand-ins and entry hosts of a trial, in one process.
 pub(crate) struct Deployment {
-    /// The platform.
+    /// Stand-in for the platform.
     pub(crate) platform: Running<Platform>,
-    /// Engines by name; a killed one is taken out.
+    /// Running engines, by name; a killed engine is removed.
     pub(crate) engines: BTreeMap<TargetId, Running<Engine>>,
-    /// Ledger servers by name.
+    /// Servers of the plain service, by name.
     pub(crate) services: BTreeMap<TargetId, Running<Service>>,
-    /// Store hosts by name.
+    /// Store hosts, by name.
     pub(crate) stores: BTreeMap<TargetId, Running<Store>>,
-    /// What engines did; outlives them.
+    /// State of all engines with their records, by name; it stays after an engine is killed.
     pub(crate) engine_states: BTreeMap<TargetId, Arc<Engine>>,
-    /// Entry hosts by name; one that ended is taken out.
+    /// Running entry hosts, by name; a host that has ended is removed.
     pub(crate) entries: BTreeMap<&'static str, Daemon>,
-    /// Regions of hosts and targets.
+    /// Regions of hosts and targets, by name.
     pub(crate) regions: BTreeMap<TargetId, RegionId>,
-    /// Addresses of the stores by region.
+    /// Regions of the stores, by address.
     pub(crate) store_regions: BTreeMap<SocketAddr, RegionId>,
-    /// Dropped to end the thread of the stand-ins.
+    /// Channel that ends the thread of the stand-ins when it is dropped.
     stop: async_channel::Sender<()>,
-    /// Runs the stand-ins.
+    /// Thread that runs the stand-ins.
     thread: JoinHandle<()>,
 }
 
 impl Deployment {
-    /// Starts everything. Nothing is declared yet.
+    /// Starts the stand-ins and entry hosts and adds them to the host list. Nothing is declared yet.
     pub(crate) fn start(layout: &Layout, preset: &Preset, log: &Logger) -> Result<Self, Report<TrialError>> {
         let ex: Executor = Arc::new(smol::Executor::new());
-        let (stop, thread) = run_in_thread(&ex)?;
+        let (stop, thread) = spawn_executor_thread(&ex)?;
         let cfg = PlatformConfig {
             list_lag: Duration::from_millis(200),
             ..PlatformConfig::default()
@@ -156,45 +156,45 @@
         layout: &Layout,
         preset: &Preset,
     ) -> Result<(), Report<TrialError>> {
-        for place in &layout.engines {
+        for spec in &layout.engines {
             let cfg = EngineConfig {
-                id: place.id.into(),
+                id: spec.id.into(),
                 models: vec![(preset.model.clone(), 1)],
                 ..layout.engine.clone()
             };
             let engine = Engine::start(ex, loopback(), cfg);
             let engine = engine.change_context(TrialError::StandIn)?;
-            self.list(place, HostRole::Engine, engine.addr(), &preset.model);
-            self.engine_states.insert(place.id.into(), engine.state().clone());
-            self.engines.insert(place.id.into(), engine);
+            self.add_to_list(spec, HostRole::Engine, engine.addr(), &preset.model);
+            self.engine_states.insert(spec.id.into(), engine.state().clone());
+            self.engines.insert(spec.id.into(), engine);
         }
-        for place in &layout.services {
+        for spec in &layout.services {
             let service = Service::start(ex, loopback(), ServiceConfig::default());
             let service = service.change_context(TrialError::StandIn)?;
-            self.list(place, HostRole::Service, service.addr(), &preset.service);
-            self.services.insert(place.id.into(), service);
+            self.add_to_list(spec, HostRole::Service, service.addr(), &preset.service);
+            self.services.insert(spec.id.into(), service);
         }
-        for place in &layout.stores {
+        for spec in &layout.stores {
             let store = Store::start(ex, loopback(), StoreConfig::default());
             let store = store.change_context(TrialError::StandIn)?;
-            self.list(place, HostRole::Store, store.addr(), "");
-            self.store_regions.insert(store.addr(), place.region.into());
-            self.stores.insert(place.id.into(), store);
+            self.add_to_list(spec, HostRole::Store, store.addr(), "");
+            self.store_regions.insert(store.addr(), spec.region.into());
+            self.stores.insert(spec.id.into(), store);
         }
         Ok(())
     }
 
     fn start_entries(&mut self, layout: &Layout, log: &Logger) -> Result<(), Report<TrialError>> {
-        for place in &layout.entries {
-            let daemon = Daemon::start(settings(place, self.platform.addr()), log.clone());
+        for spec in &layout.entries {
+            let daemon = Daemon::start(settings(spec, self.platform.addr()), log.clone());
             let daemon = daemon.change_context(TrialError::Entry)?;
-            self.list(place, HostRole::Entry, daemon.addresses().callers, "");
-            self.entries.insert(place.id, daemon);
+            self.add_to_list(spec, HostRole::Entry, daemon.addresses().callers, "");
+            self.entries.insert(spec.id, daemon);
         }
         Ok(())
     }
 
-    /// Brings into force what is declared, by a release note.
+    /// Puts `wanted` into force with a release note.
     pub(crate) fn declare(&self, wanted: &Declared) -> Result<(), Report<TrialError>> {
         let ex: Executor = Arc::new(smol::Executor::new());
         let client = Client::new(ex.clone(), ClientConfig::default());
@@ -203,24 +203,24 @@
             store: NoteStore::new(platform.clone(), platform),
             clock: Arc::new(SystemClock::new()),
         };
-        let accepted = smol::block_on(ex.run(accept(&operator, wanted)));
+        let accepted = smol::block_on(ex.run(put_into_force(&operator, wanted)));
         match accepted.change_context(TrialError::Note)? {
             Acceptance::InForce(_) => Ok(()),
             Acceptance::Waiting { .. } => Err(Report::new(TrialError::Note)),
         }
     }
 
-    /// Marks a listed engine as leaving.
-    pub(crate) fn leave(&self, id: &str, layout: &Layout, preset: &Preset) {
-        let place = layout.engines.iter().find(|place| place.id == id);
-        if let (Some(place), Some(engine)) = (place, self.engines.get(id)) {
-            let mut host = listed(place, HostRole::Engine, engine.addr(), &preset.model);
+    /// Marks an engine as leaving in the host list.
+    pub(crate) fn mark_leaving(&self, id: &str, layout: &Layout, preset: &Preset) {
+        let spec = layout.engines.iter().find(|spec| spec.id == id);
+        if let (Some(spec), Some(engine)) = (spec, self.engines.get(id)) {
+            let mut host = listed_host(spec, HostRole::Engine, engine.addr(), &preset.model);
             host.state = HostState::Leaving;
             self.platform.state().set_host(host);
         }
     }
 
-    /// The entry hosts that run, as callers and as the balancer know them.
+    /// Returns the running entry hosts with the addresses of their listeners for operators.
     pub(crate) fn entries(&self) -> Vec<(Entry, SocketAddr)> {
         let entry = |(id, daemon): (&&'static str, &Daemon)| {
             let addresses = daemon.addresses();
@@ -229,13 +229,14 @@
         self.entries.iter().map(entry).collect()
     }
 
-    fn list(&mut self, place: &Place, role: HostRole, address: SocketAddr, serves: &str) {
-        self.regions.insert(place.id.into(), place.region.into());
-        let host = listed(place, role, address, serves);
+    /// Adds a host to the host list of the platform and remembers its region.
+    fn add_to_list(&mut self, spec: &HostSpec, role: HostRole, address: SocketAddr, serves: &str) {
+        self.regions.insert(spec.id.into(), spec.region.into());
+        let host = listed_host(spec, role, address, serves);
         self.platform.state().set_host(host);
     }
 
-    /// Drains the entry hosts that are left and stops the stand-ins.
+    /// Drains the remaining entry hosts and stops the stand-ins.
     pub(crate) fn stop(self) -> Result<(), Report<TrialError>> {
         for daemon in self.entries.into_values() {
             daemon.drain().change_context(TrialError::Entry)?;
@@ -257,15 +258,19 @@
     }
 }
 
-async fn accept(operator: &Operator, wanted: &Declared) -> Result<Acceptance, Report<NoteError>> {
+/// Stages and accepts a release note for the difference between what is in force and `wanted`.
+async fn put_into_force(operator: &Operator, wanted: &Declared) -> Result<Acceptance, Report<NoteError>> {
     let head = operator.store.bootstrap(&Terms::default()).await?;
     let base = operator.store.declared(&head.row, None).await?;
     let note = Note::between(format!("note-{}", wanted.version), &base, wanted);
-    let (head, base) = operator.stage(&note, NOTE_PATIENCE).await?;
-    operator.accept(head, &base, NOTE_PATIENCE, |_| {}).await
+    let (head, base) = operator.stage(&note, NOTE_TIMEOUT).await?;
+    operator.accept(head, &base, NOTE_TIMEOUT, |_| {}).await
 }
 
-fn run_in_thread(ex: &Executor) -> Result<(async_channel::Sender<()>, JoinHandle<()>), Report<TrialError>> {
+/// Starts a thread that runs the tasks of `ex` until the returned channel is dropped.
+fn spawn_executor_thread(
+    ex: &Executor,
+) -> Result<(async_channel::Sender<()>, JoinHandle<()>), Report<TrialError>> {
     let (stop, stopped) = http_io::shutdown_channel();
     let ex = ex.clone();
     let thread = std::thread::Builder::new()
@@ -277,12 +282,13 @@
     Ok((stop, thread))
 }
 
-fn listed(place: &Place, role: HostRole, address: SocketAddr, serves: &str) -> ListedHost {
+/// Returns the entry of a live host in the host list.
+fn listed_host(spec: &HostSpec, role: HostRole, address: SocketAddr, serves: &str) -> ListedHost {
     ListedHost {
-        id: place.id.into(),
+        id: spec.id.into(),
         role,
-        region: place.region.into(),
-        failure_domain: place.failure_domain.into(),
+        region: spec.region.into(),
+        failure_domain: spec.failure_domain.into(),
         address,
         peer_address: None,
         incarnation: 0,
--- a/components/trial/src/lib.rs
+++ b/components/trial/src/lib.rs
@@ -1,4 +1,7 @@
-//! The main job on an embedded default: a small deployment in one process, a trace, faults and a verdict.
+//! Self-contained trial of the system.
+//!
+//! Starts a small deployment in one process, plays a trace while faults are injected, and checks the nine
+//! promises.
 
 mod balancer;
 mod declared;
--- a/components/trial/src/report.rs
+++ b/components/trial/src/report.rs
@@ -5,47 +5,47 @@
 
 use crate::WorkSummary;
 
-/// What a trial found.
+/// Results of a trial.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize)]
 pub struct TrialReport {
     /// Seed of the trace.
     pub seed: u64,
-    /// Requests in the trace.
+    /// Number of requests in the trace.
     pub requests: u64,
-    /// Requests whose caller got the whole answer.
+    /// Requests whose caller received the complete answer.
     pub answered: u64,
-    /// Requests that ended with `not-run`.
+    /// Requests without a complete answer whose last outcome is `not-run`.
     pub refused: u64,
-    /// Requests that ended otherwise: `may-have-run` or no answer.
+    /// Other requests without a complete answer: their outcome is `may-have-run` or there was no answer.
     pub unknown: u64,
-    /// Requests whose caller came back at least once.
+    /// Requests that their caller retried or resumed at least once.
     pub came_back: u64,
-    /// Share of prompt tokens that were computed again.
+    /// Share of the prompt tokens that were computed again, 0 to 1.
     pub recomputed_share: f64,
-    /// Share of prompt tokens that came from cache.
+    /// Share of the prompt tokens that came from cache, 0 to 1.
     pub cached_share: f64,
-    /// Prompt work and link use.
+    /// Token counts and traffic between regions.
     pub work: WorkSummary,
-    /// Latencies.
+    /// Latencies of the requests with a complete answer.
     pub latencies: LatencySummary,
-    /// The nine promises.
+    /// Results for each of the nine promises.
     pub promises: Vec<PromiseLine>,
-    /// Facts that break a promise.
+    /// Number of violations of any promise.
     pub broken: u64,
 }
 
-/// One promise in a report.
+/// Results of a trial for one promise.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize)]
 pub struct PromiseLine {
-    /// The promise.
+    /// Promise that was checked.
     pub promise: Promise,
-    /// Facts that were checked.
+    /// Number of facts that were checked.
     pub checked: u64,
-    /// Facts that break it.
+    /// Number of violations.
     pub broken: u64,
-    /// The first broken cases.
+    /// Descriptions of the first violations.
     pub cases: Vec<String>,
 }
 
@@ -76,18 +76,18 @@
             cached_share: work.cached_share(),
             work,
             latencies,
-            promises: lines(verdict),
+            promises: promise_lines(verdict),
             broken: verdict.broken(),
         }
     }
 
-    /// Whether every promise was kept.
+    /// Returns whether every promise was kept.
     pub fn all_promises_kept(&self) -> bool {
         self.broken == 0
     }
 }
 
-fn lines(verdict: &Report) -> Vec<PromiseLine> {
+fn promise_lines(verdict: &Report) -> Vec<PromiseLine> {
     let line = |(promise, found): (&Promise, &checker::PromiseReport)| PromiseLine {
         promise: *promise,
         checked: found.checked,
--- a/components/trial/src/script.rs
+++ b/components/trial/src/script.rs
@@ -9,52 +9,52 @@
 use crate::declared::{accepted_now, declared};
 use crate::deployment::{Deployment, Layout};
 
-/// Time until the platform's list shows that a host is gone.
-const DELIST_AFTER: Duration = Duration::from_millis(500);
+/// Time from the loss of an engine until the platform removes it from the host list.
+const DELIST_DELAY: Duration = Duration::from_millis(500);
 
-/// When the graceful shutdown begins, as a share of the trace's time.
-const DRAIN_AT: f64 = 0.85;
+/// Time at which the graceful shutdown of an entry host begins, as a share of the duration of the trace.
+const DRAIN_TIME_SHARE: f64 = 0.85;
 
-/// What happens during a trial, as a share of the trace's time.
+/// Fault or change that the script applies during a trial.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// An engine loses power.
+    /// Kills an engine without notice, as on a power loss.
     KillEngine,
-    /// The platform's list shows it.
+    /// Removes the killed engine from the host list.
     DelistEngine,
-    /// A release note is accepted.
+    /// Puts a release note into force.
     AcceptNote,
-    /// An engine is about to go.
+    /// Marks an engine as leaving in the host list.
     LeaveEngine,
-    /// An entry host loses power.
+    /// Kills an entry host without notice and removes it from the host list.
     KillEntry,
-    /// An entry host shuts down gracefully.
+    /// Drains an entry host and removes it from the host list.
     DrainEntry,
 }
 
-/// What the script did, for the checker.
+/// Changes that the script made, for the checker.
 #[derive(Debug, Default)]
-pub(crate) struct Played {
-    /// Targets that left.
+pub(crate) struct ScriptRecord {
+    /// Targets that were marked as leaving.
     pub(crate) leaves: Vec<Leave>,
-    /// Hosts that shut down gracefully.
+    /// Entry hosts that were shut down gracefully.
     pub(crate) drains: Vec<Drain>,
-    /// Notes that were accepted.
+    /// Release notes that came into force.
     pub(crate) notes: Vec<NoteAccepted>,
 }
 
-/// When the graceful shutdown begins.
-pub(crate) fn drained_at(trace: &Trace) -> Duration {
-    trace.duration().mul_f64(DRAIN_AT)
+/// Returns the time at which the graceful shutdown begins, from the start of the trace.
+pub(crate) fn drain_time(trace: &Trace) -> Duration {
+    trace.duration().mul_f64(DRAIN_TIME_SHARE)
 }
 
-/// The steps of a trial.
+/// Schedule of the faults and changes of a trial.
 pub(crate) struct Script<'a> {
-    /// What runs.
+    /// Layout of the deployment.
     layout: &'a Layout,
-    /// Shape of the traffic.
+    /// Parameters of the traffic.
     preset: &'a Preset,
-    /// The trace.
+    /// Trace that is played meanwhile.
     trace: &'a Trace,
 }
 
@@ -67,34 +67,34 @@
         }
     }
 
-    /// Plays the steps while the trace runs. Blocks its thread.
-    pub(crate) fn play(
+    /// Runs the steps at their times after `start`. Blocks the calling thread.
+    pub(crate) fn run(
         &self,
         deployment: &mut Deployment,
         start: Instant,
-        played: &mut Played,
+        script_record: &mut ScriptRecord,
     ) -> Result<(), Report<TrialError>> {
         let at = |share: f64| self.trace.duration().mul_f64(share);
         let steps = [
             (at(0.25), Step::KillEngine),
-            (at(0.25) + DELIST_AFTER, Step::DelistEngine),
+            (at(0.25) + DELIST_DELAY, Step::DelistEngine),
             (at(0.4), Step::AcceptNote),
             (at(0.5), Step::LeaveEngine),
             (at(0.6), Step::KillEntry),
-            (at(DRAIN_AT), Step::DrainEntry),
+            (at(DRAIN_TIME_SHARE), Step::DrainEntry),
         ];
         for (at, step) in steps {
             std::thread::sleep((start + at).saturating_duration_since(Instant::now()));
-            self.take(deployment, step, played)?;
+            self.run_step(deployment, step, script_record)?;
         }
         Ok(())
     }
 
-    fn take(
+    fn run_step(
         &self,
         deployment: &mut Deployment,
         step: Step,
-        played: &mut Played,
+        script_record: &mut ScriptRecord,
     ) -> Result<(), Report<TrialError>> {
         match step {
             Step::KillEngine => {
@@ -106,11 +106,11 @@
             Step::AcceptNote => {
                 let next = declared(self.preset, self.trace, 2);
                 deployment.declare(&next)?;
-                played.notes.push(accepted_now(&next));
+                script_record.notes.push(accepted_now(&next));
             }
             Step::LeaveEngine => {
-                deployment.leave("engine-3", self.layout, self.preset);
-                played.leaves.push(Leave {
+                deployment.mark_leaving("engine-3", self.layout, self.preset);
+                script_record.leaves.push(Leave {
                     target: "engine-3".into(),
                     at: unix_micros(),
                 });
@@ -121,16 +121,17 @@
                 }
                 deployment.platform.state().remove_host("entry-2");
             }
-            Step::DrainEntry => drain(deployment, "entry-3", played)?,
+            Step::DrainEntry => drain(deployment, "entry-3", script_record)?,
         }
         Ok(())
     }
 }
 
+/// Drains an entry host, removes it from the host list and records the drain.
 fn drain(
     deployment: &mut Deployment,
     id: &'static str,
-    played: &mut Played,
+    script_record: &mut ScriptRecord,
 ) -> Result<(), Report<TrialError>> {
     let Some(daemon) = deployment.entries.remove(id) else {
         return Ok(());
@@ -138,7 +139,7 @@
     let began = unix_micros();
     daemon.drain().change_context(TrialError::Entry)?;
     deployment.platform.state().remove_host(id);
-    played.drains.push(Drain {
+    script_record.drains.push(Drain {
         host: id.into(),
         began,
         ended: unix_micros(),
--- a/components/trial/src/settings.rs
+++ b/components/trial/src/settings.rs
@@ -5,30 +5,30 @@
     Settings, ThreadSettings, TimeoutSettings,
 };
 
-/// Time between two reads of the host list or of the head of the notes, in milliseconds.
-const POLL_MS: u64 = 100;
-/// Longest time without progress of a stream, in milliseconds.
-const PROGRESS_MS: u64 = 1_000;
-/// Time from a drain's start to the end of accepting, in milliseconds.
+/// Interval at which an entry host reads the host list and the head of the notes, in milliseconds.
+const POLL_INTERVAL_MS: u64 = 100;
+/// Timeout for the next event of a stream, in milliseconds.
+const PROGRESS_TIMEOUT_MS: u64 = 1_000;
+/// Time from the start of a drain until a host stops accepting requests, in milliseconds.
 const DRAIN_NOTICE_MS: u64 = 500;
 
-/// Where an entry host of the trial stands.
-pub(crate) struct Place {
-    /// Its name.
+/// Name and location of a host of the trial.
+pub(crate) struct HostSpec {
+    /// Name of the host.
     pub(crate) id: &'static str,
-    /// Its region.
+    /// Region of the host.
     pub(crate) region: &'static str,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub(crate) failure_domain: &'static str,
 }
 
-/// Settings of an entry host on loopback.
-pub(crate) fn settings(place: &Place, platform: SocketAddr) -> Settings {
+/// Returns the settings of an entry host whose listeners are on the loopback address.
+pub(crate) fn settings(spec: &HostSpec, platform: SocketAddr) -> Settings {
     Settings {
         host: HostSettings {
-            id: place.id.into(),
-            region: place.region.into(),
-            failure_domain: place.failure_domain.into(),
+            id: spec.id.into(),
+            region: spec.region.into(),
+            failure_domain: spec.failure_domain.into(),
         },
         listen: ListenSettings {
             callers: loopback(),
@@ -36,8 +36,8 @@
             peers: loopback(),
         },
         platform: PlatformSettings {
-            list_interval_ms: POLL_MS,
-            head_interval_ms: POLL_MS,
+            list_interval_ms: POLL_INTERVAL_MS,
+            head_interval_ms: POLL_INTERVAL_MS,
             ..PlatformSettings::new(platform)
         },
         peers: PeerSettings::default(),
@@ -49,7 +49,7 @@
         threads: ThreadSettings::default(),
         limits: LimitSettings::default(),
         timeouts: TimeoutSettings {
-            progress_ms: PROGRESS_MS,
+            progress_ms: PROGRESS_TIMEOUT_MS,
             drain_notice_ms: DRAIN_NOTICE_MS,
             ..TimeoutSettings::default()
         },
@@ -57,7 +57,7 @@
     }
 }
 
-/// A free port on the loopback address.
+/// Returns the loopback address with port 0, for which the system chooses a free port.
 pub(crate) fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
--- a/components/trial/src/single.rs
+++ b/components/trial/src/single.rs
@@ -12,21 +12,22 @@
 use crate::declared::{api_keys, declared};
 use crate::deployment::{Deployment, Layout};
 
-/// One entry host before one engine, for measuring what the way through the entry host costs.
+/// Deployment of one entry host and one engine, for measuring the overhead of the entry host.
 pub struct SingleEntry {
-    /// What runs.
+    /// Running platform, engine and entry host.
     deployment: Deployment,
-    /// Callers of the entry host.
+    /// Settings for callers of the entry host.
     callers: CallerConfig,
-    /// Where the engine listens.
+    /// Address of the engine.
     engine: SocketAddr,
 }
 
 impl SingleEntry {
-    /// Starts platform, engine and entry host and waits until the host is ready for the trace's workspaces.
+    /// Starts platform, engine and entry host, declares the workspaces of the trace and waits until the host
+    /// is ready.
     ///
     /// # Errors
-    /// [`TrialError`] if something does not start.
+    /// Returns a [`TrialError`] if a part does not start or the host does not become ready.
     pub fn start(
         preset: &Preset,
         trace: &Trace,
@@ -39,7 +40,7 @@
         let entries = hosts.iter().map(|(entry, _)| entry.clone()).collect();
         let callers = CallerConfig::new(entries, api_keys(trace));
         let ex: Executor = Arc::new(smol::Executor::new());
-        smol::block_on(ex.run(Balancer::new(&ex, hosts).wait()))?;
+        smol::block_on(ex.run(Balancer::new(&ex, hosts).wait_until_ready()))?;
         let engine = deployment.engines.values().next().map(|engine| engine.addr());
         let engine = engine.ok_or(TrialError::StandIn)?;
         Ok(Self {
@@ -49,12 +50,12 @@
         })
     }
 
-    /// Settings for callers of the entry host.
+    /// Returns the settings for callers of the entry host.
     pub fn callers(&self) -> &CallerConfig {
         &self.callers
     }
 
-    /// Where the engine listens.
+    /// Returns the address of the engine.
     pub fn engine(&self) -> SocketAddr {
         self.engine
     }
@@ -62,7 +63,7 @@
     /// Drains the entry host and stops the stand-ins.
     ///
     /// # Errors
-    /// [`TrialError`] if a thread ended badly.
+    /// Returns a [`TrialError`] if the entry host stops with an error or a thread panicked.
     pub fn stop(self) -> Result<(), Report<TrialError>> {
         self.deployment.stop()
     }
--- a/components/trial/tests/trial.rs
+++ b/components/trial/tests/trial.rs
@@ -1,4 +1,4 @@
-//! A short trial over real sockets, with its faults.
+//! Runs a short trial over real sockets, with faults.
 
 use std::sync::Arc;
 
@@ -14,12 +14,13 @@
     };
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let report = run(&cfg, &log, Arc::new(())).unwrap();
-    // One for each forty must be refused, and six long ones are open at the drain.
+    // The trace has 120 planned requests, 3 requests that have to be refused (one for each 40) and 6 long
+    // drafts that are open at the drain.
     assert_eq!(report.requests, 129);
     assert!(report.refused >= 3);
     assert_eq!(report.broken, 0, "{}", trial::report_table(&report));
     assert_eq!(report.answered + report.refused + report.unknown, 129);
-    // Blocks are checked where engines use any; the others always have something to check.
+    // Only intact cache may have nothing to check, if no engine imported or used a cache block.
     let checked = |line: &&trial::PromiseLine| line.checked > 0 || line.promise == Promise::IntactCache;
     assert!(report.promises.iter().all(|line| checked(&line)), "{report:?}");
 }
