--- a/src/cli.rs
+++ b/src/cli.rs
@@ -9,35 +9,35 @@
     BenchPolicyArgs, LoadArgs, NamedAddress, OutputFormat, StandInArgs, StandInKind, TryArgs,
 };
 
-/// Serves prompts that return after long gaps.
+/// Serving system for prompts that return after long gaps.
 #[derive(Debug)]
 #[derive(Parser)]
 #[command(name = "laburnumtally", version)]
 pub(crate) struct Cli {
-    /// What to do.
+    /// Subcommand to run.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// The subcommands, one file each in `cmd`.
+/// Subcommands; each is implemented in a file of `cmd`.
 #[derive(Debug)]
 #[derive(Subcommand)]
 pub(crate) enum Command {
     /// Run an entry host until SIGTERM or SIGINT.
     Serve(ServeArgs),
-    /// Check settings, or explain every field.
+    /// Check a settings file, or describe every field.
     #[command(subcommand)]
     Config(ConfigCommand),
-    /// Check, compare and accept release notes. Exits with 3 if a note is staged and not accepted.
+    /// Check, compare and accept release notes; exits with 3 if a note is staged and not accepted.
     #[command(subcommand)]
     Note(NoteCommand),
     /// Print the numbered log events.
     Events,
-    /// Tell from the logs of several hosts what became of a request.
+    /// Show the log lines of one request from the logs of several hosts.
     Explain(ExplainArgs),
-    /// Make a test authority and keys for the traffic between entry hosts.
+    /// Generate a test certificate authority and keys for the traffic between entry hosts.
     Keys(KeysArgs),
-    /// Play a trial: a small deployment in one process, with faults, and a verdict.
+    /// Run a trial: a small deployment in one process with injected faults; then check the promises.
     Try(TryArgs),
     /// Run a stand-in for the platform or for a target until SIGTERM or SIGINT.
     StandIn(StandInArgs),
@@ -51,10 +51,10 @@
 #[derive(Debug)]
 #[derive(Args)]
 pub(crate) struct ServeArgs {
-    /// Settings of the host, YAML.
+    /// Settings file of the host, YAML.
     #[arg(long, value_name = "FILE", required_unless_present = "platform")]
     pub config: Option<PathBuf>,
-    /// Run on the users' platform, with the settings that it gives.
+    /// Run on the users' platform, with the settings file that it provides.
     #[arg(long, conflicts_with = "config")]
     pub platform: bool,
 }
@@ -63,17 +63,17 @@
 #[derive(Debug)]
 #[derive(Subcommand)]
 pub(crate) enum ConfigCommand {
-    /// Check a file of settings; exits with 2 if it is not usable.
+    /// Check a settings file; exits with 2 if it is not usable.
     Check {
-        /// Settings of a host, YAML.
+        /// Settings file of a host, YAML.
         file: PathBuf,
-        /// The file is in the format of the users' platform.
+        /// Read the file in the format of the users' platform.
         #[arg(long)]
         platform: bool,
     },
     /// Print every field with its unit, default and allowed values.
     Explain {
-        /// Explain the format of the users' platform.
+        /// Print the fields of the format of the users' platform.
         #[arg(long)]
         platform: bool,
     },
@@ -83,10 +83,10 @@
 #[derive(Debug)]
 #[derive(Args)]
 pub(crate) struct ExplainArgs {
-    /// Identifier of the request.
+    /// Id of the request.
     #[arg(long, value_name = "ID")]
     pub request: String,
-    /// Logs of hosts, JSON lines; a log's name stands for its host.
+    /// Logs of hosts, JSON lines; the file name without its extension is shown as the host.
     #[arg(value_name = "LOG", required = true)]
     pub logs: Vec<PathBuf>,
 }
@@ -95,10 +95,10 @@
 #[derive(Debug)]
 #[derive(Args)]
 pub(crate) struct KeysArgs {
-    /// Directory for `authority.pem`, `HOST.pem` and `HOST.key`.
+    /// Output directory for `authority.pem`, `HOST.pem` and `HOST.key`.
     #[arg(long, value_name = "DIR")]
     pub out: PathBuf,
-    /// Name of an entry host; give it once for each host.
+    /// Id of an entry host; repeat for more.
     #[arg(long = "host", value_name = "ID", required = true)]
     pub hosts: Vec<String>,
 }
--- a/src/cli/trials.rs
+++ b/src/cli/trials.rs
@@ -3,11 +3,11 @@
 
 use clap::Args;
 
-/// How a report is printed.
+/// Output format of a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(clap::ValueEnum)]
 pub(crate) enum OutputFormat {
-    /// For a terminal.
+    /// Text tables for a terminal.
     Table,
     /// One JSON object.
     Json,
@@ -26,7 +26,7 @@
     /// Shape of the traffic: permisos-verdes, cadwaladr or short.
     #[arg(long, default_value = "cadwaladr")]
     pub preset: String,
-    /// How the report is printed.
+    /// Output format of the report.
     #[arg(long, value_enum, default_value = "table")]
     pub format: OutputFormat,
 }
@@ -38,21 +38,21 @@
     /// Seed of the traces.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Length of a trace, in virtual minutes; the first third is not counted.
+    /// Length of a trace, in virtual minutes; the first third is warm-up and is not counted.
     #[arg(long, default_value_t = 180)]
     pub minutes: u32,
-    /// Runs at once.
+    /// Simulations that run in parallel.
     #[arg(long, default_value_t = 4)]
     pub threads: usize,
     /// Directory for the report as JSON and for plots as SVG.
     #[arg(long, value_name = "DIR")]
     pub out: Option<std::path::PathBuf>,
-    /// How the report is printed.
+    /// Output format of the report.
     #[arg(long, value_enum, default_value = "table")]
     pub format: OutputFormat,
 }
 
-/// What a stand-in stands for.
+/// Component that a stand-in replaces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(clap::ValueEnum)]
 pub(crate) enum StandInKind {
@@ -62,7 +62,7 @@
     Engine,
     /// A plain service.
     Service,
-    /// A store host for kept cache.
+    /// A store host for saved cache.
     Store,
 }
 
@@ -70,13 +70,13 @@
 #[derive(Debug)]
 #[derive(Args)]
 pub(crate) struct StandInArgs {
-    /// What it stands for.
+    /// Component that the stand-in replaces.
     #[arg(value_enum)]
     pub kind: StandInKind,
     /// Address to listen on.
     #[arg(long, value_name = "ADDR")]
     pub listen: SocketAddr,
-    /// Settings of the stand-in, YAML; defaults without one.
+    /// Settings file of the stand-in, YAML; the defaults apply without it.
     #[arg(long, value_name = "FILE")]
     pub config: Option<PathBuf>,
 }
@@ -88,7 +88,7 @@
     /// An entry host as NAME=ADDR; repeat for more.
     #[arg(long, value_name = "NAME=ADDR", required = true, value_parser = named_address)]
     pub entry: Vec<NamedAddress>,
-    /// API key of a workspace as WORKSPACE=KEY; without one it is `key-of-` and the workspace's name.
+    /// API key of a workspace as WORKSPACE=KEY; the default is `key-of-` and the name of the workspace.
     #[arg(long, value_name = "WORKSPACE=KEY", value_parser = named_text)]
     pub key: Vec<(String, String)>,
     /// Shape of the traffic: permisos-verdes, cadwaladr or short.
@@ -100,7 +100,7 @@
     /// Requests in the trace.
     #[arg(long, default_value_t = 1_000)]
     pub requests: u64,
-    /// Requests a second, instead of the preset's.
+    /// Requests per second; replaces the rate of the preset.
     #[arg(long, value_name = "PER_SECOND")]
     pub rate: Option<f64>,
     /// An engine stand-in as NAME=ADDR whose record is checked; repeat for more.
@@ -109,36 +109,36 @@
     /// A service stand-in as NAME=ADDR whose record is checked; repeat for more.
     #[arg(long, value_name = "NAME=ADDR", value_parser = named_address)]
     pub service: Vec<NamedAddress>,
-    /// Also send the trace straight to the engine at ADDR, at the same time, and compare.
+    /// Also send the trace directly to the engine at ADDR, at the same time, and compare latencies.
     #[arg(long, value_name = "ADDR")]
     pub direct: Option<SocketAddr>,
-    /// Instead of the trace's times: let so many callers send one request after another.
+    /// Ignore the times of the trace and let CALLERS callers each send one request after another.
     #[arg(long, value_name = "CALLERS", conflicts_with = "direct")]
     pub saturate: Option<usize>,
-    /// How long to saturate, in seconds.
+    /// Duration of a run with --saturate, in seconds.
     #[arg(long, default_value_t = 10)]
     pub seconds: u64,
-    /// Instead of the trace's times: open all requests at once and hold them.
+    /// Ignore the times of the trace, send all requests at once and hold their streams open.
     #[arg(long, conflicts_with_all = ["direct", "saturate"])]
     pub hold: bool,
-    /// Process whose resident memory is read before and while streams are held.
+    /// Process whose resident memory is measured before the streams open and while they are held open.
     #[arg(long, value_name = "PID", requires = "hold")]
     pub watch_pid: Option<u32>,
-    /// How the report is printed.
+    /// Output format of the report.
     #[arg(long, value_enum, default_value = "table")]
     pub format: OutputFormat,
 }
 
-/// An address with the name of what listens there.
+/// Name and address of a host or target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct NamedAddress {
     /// Name in the host list.
     pub name: String,
-    /// Address.
+    /// Address that it listens on.
     pub address: SocketAddr,
 }
 
-/// The text is not a name, an equals sign and a value.
+/// Error for an argument that is not of the form NAME=VALUE.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 #[error("expected NAME=VALUE")]
--- a/src/cmd/bench_policy.rs
+++ b/src/cmd/bench_policy.rs
@@ -6,7 +6,7 @@
 use crate::cli::{BenchPolicyArgs, OutputFormat};
 use crate::exit::CommandError;
 
-/// File with the whole report, in the directory for plots.
+/// File name of the JSON report in the output directory.
 const REPORT_FILE: &str = "policy-bench.json";
 
 /// Runs the policy bench and prints its report.
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -8,12 +8,12 @@
 use crate::cli::ExplainArgs;
 use crate::exit::CommandError;
 
-/// Prints what the logs of several hosts tell of one request.
+/// Prints the log lines of one request from the logs of several hosts; fails if no line contains it.
 pub(crate) fn explain(args: &ExplainArgs) -> Result<(), Report<CommandError>> {
     let mut story = RequestTimeline::default();
     for path in &args.logs {
         let file = File::open(path)
-            .change_context_lazy(|| CommandError::NoLog(path.clone()))
+            .change_context_lazy(|| CommandError::OpenLog(path.clone()))
             .change_context(CommandError::Usage)?;
         let name = path.file_stem().unwrap_or(path.as_os_str());
         story
--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -14,45 +14,45 @@
 use crate::cli::{LoadArgs, NamedAddress, OutputFormat};
 use crate::exit::CommandError;
 
-/// Requests at the start of a comparison that are not counted.
-const WARM_UP: usize = 500;
-/// Time until held streams have settled.
-const SETTLE: Duration = Duration::from_secs(5);
+/// Number of requests at the start of a comparison that are not counted.
+const WARM_UP_REQUESTS: usize = 500;
+/// Time to wait after all streams are open before memory is measured.
+const SETTLE_TIME: Duration = Duration::from_secs(5);
 
-/// What a run of the trace showed.
+/// Result of a run of the trace.
 #[derive(Serialize)]
 struct LoadReport {
-    /// Requests that ended whole.
+    /// Requests with a complete answer.
     answered: usize,
-    /// Other requests.
+    /// Requests without a complete answer.
     failed: usize,
-    /// Latencies.
+    /// Latencies of the answered requests.
     latencies: LatencySummary,
-    /// The nine promises.
+    /// Results of the checks of the nine promises.
     verdict: Verdict,
 }
 
-/// What held streams showed.
+/// Result of a run with all streams held open.
 #[derive(Serialize)]
 struct HoldReport {
-    /// Streams.
+    /// Counts of streams.
     streams: OpenStreams,
-    /// Resident memory before, in bytes.
+    /// Resident memory before the streams open, in bytes.
     before_bytes: Option<u64>,
     /// Resident memory with all streams open, in bytes.
     open_bytes: Option<u64>,
-    /// Growth for each stream, in bytes.
+    /// Growth of resident memory per stream, in bytes.
     bytes_per_stream: Option<u64>,
 }
 
-/// Sends load to a running system and prints what it saw.
+/// Sends load to a running system and prints a report; fails if a promise is broken.
 pub(crate) fn load(args: &LoadArgs) -> Result<(), Report<CommandError>> {
     let mut preset = super::preset(&args.preset)?;
     if let Some(rate) = args.rate {
         preset.requests_per_second = rate;
     }
     if args.hold {
-        // Long enough that all streams are open at once.
+        // 1,000 tokens keep every stream open until all are open.
         preset.max_tokens = 1_000..1_001;
     }
     let trace = preset.trace(args.seed, args.requests);
@@ -62,34 +62,34 @@
             engine,
             weight_version: 1,
             callers,
-            warm_up: WARM_UP,
+            warm_up: WARM_UP_REQUESTS,
         };
         let comparison = loadgen::compare(&cfg, &trace).change_context(CommandError::Failed)?;
-        show(args, &comparison, comparison_text);
+        print_report(args, &comparison, comparison_text);
         return Ok(());
     }
     if let Some(count) = args.saturate {
         let time = Duration::from_secs(args.seconds);
-        let found = loadgen::saturate(&callers, &trace, count, time);
-        show(args, &found, saturation_text);
+        let saturation = loadgen::saturate(&callers, &trace, count, time);
+        print_report(args, &saturation, saturation_text);
         return Ok(());
     }
     if args.hold {
-        show(args, &hold(args, &callers, &trace), hold_text);
+        print_report(args, &hold(args, &callers, &trace), hold_text);
         return Ok(());
     }
-    play(args, &callers, &trace)
+    replay(args, &callers, &trace)
 }
 
-fn play(args: &LoadArgs, callers: &CallerConfig, trace: &Trace) -> Result<(), Report<CommandError>> {
+fn replay(args: &LoadArgs, callers: &CallerConfig, trace: &Trace) -> Result<(), Report<CommandError>> {
     let finished = loadgen::play_blocking(callers, trace, Arc::new(()));
     let sources = RecordSources {
-        engines: sources(&args.engine),
-        services: sources(&args.service),
+        engines: targets(&args.engine),
+        services: targets(&args.service),
     };
     let verdict = loadgen::check_run(&sources, &finished).change_context(CommandError::Failed)?;
     let broken = verdict.broken();
-    show(args, &report(&finished, verdict), load_text);
+    print_report(args, &report(&finished, verdict), load_text);
     if broken == 0 {
         return Ok(());
     }
@@ -112,7 +112,7 @@
     let memory = || args.watch_pid.and_then(resident_bytes);
     let before_bytes = memory();
     let mut open_bytes = None;
-    let streams = loadgen::hold_streams(callers, trace, SETTLE, || open_bytes = memory());
+    let streams = loadgen::hold_streams(callers, trace, SETTLE_TIME, || open_bytes = memory());
     let grown = open_bytes
         .zip(before_bytes)
         .map(|(open, before)| open.saturating_sub(before));
@@ -124,7 +124,7 @@
     }
 }
 
-/// Resident memory of a process, as the kernel tells it.
+/// Returns the resident memory of a process from /proc, in bytes.
 fn resident_bytes(pid: u32) -> Option<u64> {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
@@ -134,23 +134,23 @@
 
 fn callers(args: &LoadArgs, trace: &Trace) -> CallerConfig {
     let entries = args.entry.iter().map(|e| Entry::new(e.name.as_str(), e.address));
-    let given: HashMap<_, _> = args.key.iter().cloned().collect();
+    let keys_by_workspace: HashMap<_, _> = args.key.iter().cloned().collect();
     let key = |workspace: &WorkspaceId| {
-        let given = given.get(&**workspace).cloned();
-        given.unwrap_or_else(|| format!("key-of-{workspace}"))
+        let key = keys_by_workspace.get(&**workspace).cloned();
+        key.unwrap_or_else(|| format!("key-of-{workspace}"))
     };
     let keys = trace.workspaces().into_iter().map(|w| (w.clone(), key(&w)));
     CallerConfig::new(entries.collect(), keys.collect())
 }
 
-fn sources(named: &[NamedAddress]) -> Vec<(utils::TargetId, std::net::SocketAddr)> {
+fn targets(named: &[NamedAddress]) -> Vec<(utils::TargetId, std::net::SocketAddr)> {
     named
         .iter()
         .map(|n| (n.name.as_str().into(), n.address))
         .collect()
 }
 
-fn show<T: Serialize>(args: &LoadArgs, report: &T, text: impl Fn(&T) -> String) {
+fn print_report<T: Serialize>(args: &LoadArgs, report: &T, text: impl Fn(&T) -> String) {
     match args.format {
         OutputFormat::Table => super::print_text(&text(report)),
         OutputFormat::Json => super::print_json(report),
@@ -164,9 +164,12 @@
         report.failed,
         loadgen::latency_table(&report.latencies)
     );
-    for (promise, found) in &report.verdict.promises {
-        text += &format!("{promise}: {} checked, {} broken\n", found.checked, found.broken);
-        for case in &found.cases {
+    for (promise, checks) in &report.verdict.promises {
+        text += &format!(
+            "{promise}: {} checked, {} broken\n",
+            checks.checked, checks.broken
+        );
+        for case in &checks.cases {
             text += &format!("broken: {case}\n");
         }
     }
@@ -186,14 +189,14 @@
     )
 }
 
-fn saturation_text(found: &Saturation) -> String {
+fn saturation_text(saturation: &Saturation) -> String {
     format!(
         "{:.0} answers a second with {} callers, {} failed, last statuses {:?}\n{}\n",
-        found.answers_per_second,
-        found.callers,
-        found.failed,
-        found.failed_statuses,
-        loadgen::latency_table(&found.latencies)
+        saturation.answers_per_second,
+        saturation.callers,
+        saturation.failed,
+        saturation.failed_statuses,
+        loadgen::latency_table(&saturation.latencies)
     )
 }
 
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The subcommands; each only wires components together.
+//! Implementations of the subcommands, which wire the components together.
 
 mod bench_policy;
 mod config;
@@ -30,7 +30,7 @@
 
 use crate::exit::CommandError;
 
-/// Prints a report; a reader that has closed the pipe is no failure.
+/// Prints a report. A closed pipe on the reading side is ignored.
 fn print_text(text: &str) {
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
@@ -41,7 +41,7 @@
     print_text(&(text + "\n"));
 }
 
-/// The preset with this name.
+/// Returns the preset with this name.
 fn preset(name: &str) -> Result<Preset, Report<CommandError>> {
     let found = Preset::by_name(name).ok_or(CommandError::UnknownPreset);
     found.map_err(|e| Report::new(e).change_context(CommandError::Usage))
--- a/src/cmd/note/args.rs
+++ b/src/cmd/note/args.rs
@@ -3,51 +3,52 @@
 
 use clap::{Args, Subcommand, ValueEnum};
 
-/// Subcommands of `note`. Exit codes: 0 done, 1 failed, 2 not usable or clashing, 3 staged and not accepted.
+/// Subcommands of `note`. Exit codes: 0 success, 1 failure, 2 not usable or in conflict, 3 staged and not
+/// accepted.
 #[derive(Debug)]
 #[derive(Subcommand)]
 pub(crate) enum NoteCommand {
     /// Write the first head row, with no notes.
     Init(InitArgs),
-    /// Check a note against the head or against earlier notes.
+    /// Check a note against the notes in force or against earlier notes.
     Check(FileArgs),
     /// Show what a note changes.
     Diff(FileArgs),
     /// Stage a note, wait for the hosts, and bring it into force.
     Accept(AcceptArgs),
-    /// Give up the staged note; it can not come into force any more.
+    /// Abandon the staged note; it can not come into force afterwards.
     Abandon(PlatformArgs),
-    /// Show the head, what is staged, and which hosts hold it.
+    /// Show the version in force, the staged change, and which hosts have confirmed it.
     Status(PlatformArgs),
     /// List accepted notes.
     Log(LogArgs),
-    /// Write a note against the present head, if no note accepted since clashes with it.
+    /// Rewrite the base of a note to the current version, if no note accepted since conflicts with it.
     Rebase(RebaseArgs),
-    /// Make an API key; a note carries only its digest.
+    /// Generate an API key; a note contains only its digest.
     Key(FormatArgs),
 }
 
-/// How results are printed.
+/// Output format of results.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 #[derive(ValueEnum)]
 pub(crate) enum Format {
-    /// For people; in colour on a terminal.
+    /// Text; in colour on a terminal.
     #[default]
     Text,
     /// One JSON value.
     Json,
 }
 
-/// How results are printed.
+/// Arguments for the output.
 #[derive(Debug, Clone, Copy)]
 #[derive(Args)]
 pub(crate) struct FormatArgs {
-    /// How results are printed.
+    /// Output format of results.
     #[arg(long, value_enum, default_value_t = Format::Text)]
     pub format: Format,
 }
 
-/// Where the platform is.
+/// Arguments of commands that use the platform.
 #[derive(Debug, Clone, Copy)]
 #[derive(Args)]
 pub(crate) struct PlatformArgs {
@@ -64,10 +65,12 @@
 pub(crate) struct InitArgs {
     #[command(flatten)]
     pub platform: PlatformArgs,
-    /// Longest age of a host's last read of the head, in milliseconds; also the wait before a note is accepted.
+    /// Maximum age of a host's last read of the head row, in milliseconds; also the waiting time before a
+    /// note is accepted.
     #[arg(long, value_name = "MS", default_value_t = 1_800)]
     pub freshness_ms: u64,
-    /// Age after which a host in a minority of its region stops taking new work, in milliseconds.
+    /// Age of the last read after which a host in a minority of its region accepts no new work, in
+    /// milliseconds.
     #[arg(long, value_name = "MS", default_value_t = 30_000)]
     pub lapse_ms: u64,
 }
@@ -78,10 +81,10 @@
 pub(crate) struct FileArgs {
     /// The note, YAML.
     pub file: PathBuf,
-    /// Address of the platform; the note is held against its head.
+    /// Address of the platform; the note is checked against the version in force there.
     #[arg(long, value_name = "ADDRESS", conflicts_with = "after")]
     pub platform: Option<SocketAddr>,
-    /// An earlier note, in order; the note is held against what they declare together.
+    /// Earlier note, repeated in order; the note is checked against the declarations of all of them.
     #[arg(long, value_name = "FILE")]
     pub after: Vec<PathBuf>,
     #[command(flatten)]
@@ -96,7 +99,7 @@
     pub file: PathBuf,
     #[command(flatten)]
     pub platform: PlatformArgs,
-    /// Longest wait for the hosts, in seconds; the note stays staged after it.
+    /// Maximum wait for the hosts, in seconds; afterwards the note stays staged.
     #[arg(long, value_name = "SECONDS", default_value_t = 60)]
     pub wait: u64,
 }
@@ -107,10 +110,10 @@
 pub(crate) struct LogArgs {
     #[command(flatten)]
     pub platform: PlatformArgs,
-    /// Only notes after this version.
+    /// List only notes after this version.
     #[arg(long, value_name = "VERSION", default_value_t = 0)]
     pub after: u64,
-    /// Most notes.
+    /// Maximum number of notes.
     #[arg(long, value_name = "COUNT", default_value_t = 50)]
     pub limit: usize,
 }
--- a/src/cmd/note/files.rs
+++ b/src/cmd/note/files.rs
@@ -6,18 +6,18 @@
 
 use super::args::{FileArgs, Format, FormatArgs, RebaseArgs};
 use super::paint::{Colour, Paint};
-use super::session::{settle, with_operator};
+use super::session::{with_exit_code, with_operator};
 use crate::cmd::print_json;
 use crate::exit::CommandError;
 
-/// Bytes of an API key before it is written as text.
+/// Length of the random part of an API key, in bytes.
 const KEY_BYTES: usize = 32;
-/// Start of every API key, so that tools recognise one.
+/// Prefix of every API key, by which tools recognise it.
 const KEY_PREFIX: &str = "lt-";
 
-/// Checks a note and prints what is wrong with it.
+/// Checks a note and prints the findings.
 pub(super) fn check(args: &FileArgs) -> Result<(), Report<CommandError>> {
-    let checked = load(args).and_then(|(file, base)| settle(file.check(&base)));
+    let checked = load(args).and_then(|(file, base)| with_exit_code(file.check(&base)));
     if args.output.format == Format::Json {
         let findings = checked.as_ref().err().map(findings_of).unwrap_or_default();
         print_json(&serde_json::json!({ "ok": checked.is_ok(), "findings": findings }));
@@ -35,8 +35,8 @@
 /// Prints what a note changes.
 pub(super) fn show_diff(args: &FileArgs) -> Result<(), Report<CommandError>> {
     let (file, base) = load(args)?;
-    settle(file.check(&base))?;
-    let after = settle(apply(&base, &file.note))?;
+    with_exit_code(file.check(&base))?;
+    let after = with_exit_code(apply(&base, &file.note))?;
     let changes = diff(&base, &after);
     if args.output.format == Format::Json {
         print_json(&changes);
@@ -50,15 +50,15 @@
     Ok(())
 }
 
-/// Rewrites the base of a note in its file, after checking it against the head.
+/// Rewrites the base of a note in its file to the current version, after checking the note against it.
 pub(super) fn rebase(args: &RebaseArgs) -> Result<(), Report<CommandError>> {
-    let file = settle(NoteFile::load(&args.file))?;
+    let file = with_exit_code(NoteFile::load(&args.file))?;
     let (rebased, base) = with_operator(args.platform.platform, async |operator| {
         operator.rebase(&file.note).await
     })?;
     let text = file.text_with_base(rebased.base);
     let name = args.file.display().to_string();
-    settle(NoteFile::parse(&text, &name).and_then(|file| file.check(&base)))?;
+    with_exit_code(NoteFile::parse(&text, &name).and_then(|file| file.check(&base)))?;
     std::fs::write(&args.file, text).change_context(CommandError::Failed)?;
     match args.platform.output.format {
         Format::Json => print_json(&serde_json::json!({ "id": rebased.id, "base": rebased.base })),
@@ -67,7 +67,7 @@
     Ok(())
 }
 
-/// Makes an API key and prints it with its digest.
+/// Generates an API key and prints it with its digest.
 pub(super) fn make_key(output: FormatArgs) -> Result<(), Report<CommandError>> {
     let secret: [u8; KEY_BYTES] = rand::random();
     let key = format!("{KEY_PREFIX}{}", utils::Digest::from(secret));
@@ -80,27 +80,27 @@
 }
 
 fn load(args: &FileArgs) -> Result<(NoteFile, Declared), Report<CommandError>> {
-    let file = settle(NoteFile::load(&args.file))?;
+    let file = with_exit_code(NoteFile::load(&args.file))?;
     let base = match args.platform {
-        Some(addr) => declared_at(addr)?,
-        None => declared_by(&args.after)?,
+        Some(addr) => declared_on_platform(addr)?,
+        None => declared_in_files(&args.after)?,
     };
     Ok((file, base))
 }
 
-fn declared_at(addr: SocketAddr) -> Result<Declared, Report<CommandError>> {
+fn declared_on_platform(addr: SocketAddr) -> Result<Declared, Report<CommandError>> {
     with_operator(addr, async |operator| {
         let head = operator.store.head().await?;
         operator.store.declared(&head.row, None).await
     })
 }
 
-fn declared_by(files: &[PathBuf]) -> Result<Declared, Report<CommandError>> {
+fn declared_in_files(files: &[PathBuf]) -> Result<Declared, Report<CommandError>> {
     let mut declared = Declared::default();
     for path in files {
-        let file = settle(NoteFile::load(path))?;
-        settle(file.check(&declared))?;
-        declared = settle(apply(&declared, &file.note))?;
+        let file = with_exit_code(NoteFile::load(path))?;
+        with_exit_code(file.check(&declared))?;
+        declared = with_exit_code(apply(&declared, &file.note))?;
     }
     Ok(declared)
 }
--- a/src/cmd/note/force.rs
+++ b/src/cmd/note/lifecycle.rs
@@ -6,7 +6,7 @@
 
 use super::args::{AcceptArgs, Format, InitArgs, LogArgs, PlatformArgs};
 use super::paint::{Colour, Paint};
-use super::session::{settle, with_operator};
+use super::session::{with_exit_code, with_operator};
 use crate::cmd::print_json;
 use crate::exit::CommandError;
 
@@ -26,19 +26,19 @@
 
 /// Stages a note, waits for the hosts and brings it into force.
 pub(super) fn accept(args: &AcceptArgs) -> Result<(), Report<CommandError>> {
-    let file = settle(NoteFile::load(&args.file))?;
+    let file = with_exit_code(NoteFile::load(&args.file))?;
     let format = args.platform.output.format;
-    let patience = Duration::from_secs(args.wait);
-    let mut last = None;
+    let timeout = Duration::from_secs(args.wait);
+    let mut last_printed = None;
     let progress = |status: &AcceptStatus| {
-        if format == Format::Text && last.as_ref() != Some(&status.regions) {
+        if format == Format::Text && last_printed.as_ref() != Some(&status.regions) {
             print_regions(status);
-            last = Some(status.regions.clone());
+            last_printed = Some(status.regions.clone());
         }
     };
     let accepted = with_operator(args.platform.platform, async |operator| {
-        let (head, base) = operator.stage(&file.note, patience).await?;
-        operator.accept(head, &base, patience, progress).await
+        let (head, base) = operator.stage(&file.note, timeout).await?;
+        operator.accept(head, &base, timeout, progress).await
     })?;
     match accepted {
         Acceptance::InForce(head) => {
@@ -50,12 +50,12 @@
                 Format::Json => print_json(&serde_json::json!({ "in_force": false, "staged": status })),
                 Format::Text => println!("{} is staged and not accepted", file.note.id),
             }
-            Err(Report::new(NotConfirmed(missing(&status))).change_context(CommandError::NotAccepted))
+            Err(Report::new(NotConfirmed(unconfirmed_by(&status))).change_context(CommandError::NotAccepted))
         }
     }
 }
 
-/// Gives up the staged note.
+/// Abandons the staged note.
 pub(super) fn abandon(args: &PlatformArgs) -> Result<(), Report<CommandError>> {
     let head = with_operator(args.platform, async |operator| {
         let head = operator.store.head().await?;
@@ -65,31 +65,31 @@
     Ok(())
 }
 
-/// Prints the head, what is staged and which hosts hold it.
+/// Prints the version in force, the staged change and which hosts have confirmed it.
 pub(super) fn status(args: &PlatformArgs) -> Result<(), Report<CommandError>> {
-    let (head, hosts, waiting) = with_operator(args.platform, async |operator| {
+    let (head, hosts, staged_status) = with_operator(args.platform, async |operator| {
         let head = operator.store.head().await?;
         let hosts = operator.store.hosts().await?;
-        let waiting = waiting(&operator, &head, &hosts).await?;
-        Ok((head, hosts, waiting))
+        let staged_status = staged_status(&operator, &head, &hosts).await?;
+        Ok((head, hosts, staged_status))
     })?;
     if args.output.format == Format::Json {
-        print_json(&serde_json::json!({ "head": head.row, "hosts": hosts, "staged": waiting }));
+        print_json(&serde_json::json!({ "head": head.row, "hosts": hosts, "staged": staged_status }));
         return Ok(());
     }
     print_head(Format::Text, &head);
-    if let Some(status) = &waiting {
+    if let Some(status) = &staged_status {
         print_regions(status);
     }
     let staged = head.row.staged.as_ref().map_or(0, |staged| staged.seq);
     for host in &hosts {
-        let holds = match (host.is_stopped, staged) {
+        let state = match (host.is_stopped, staged) {
             (true, _) => "stopped",
             (false, 0) => "runs",
             (false, staged) if host.acknowledged >= staged => "holds the staged note",
             (false, _) => "has not confirmed the staged note",
         };
-        println!("  {} ({}): {holds}", host.host, host.region);
+        println!("  {} ({}): {state}", host.host, host.region);
     }
     Ok(())
 }
@@ -104,22 +104,22 @@
         return Ok(());
     }
     for row in rows {
-        let touched = row.note.touched().count();
+        let entries = row.note.touched().count();
         println!(
             "{:>6}  {}  {} entries  {}",
-            row.version, row.note.id, touched, row.note.summary
+            row.version, row.note.id, entries, row.note.summary
         );
     }
     Ok(())
 }
 
-/// The staged note has not been confirmed everywhere.
+/// Error for a staged note that too few hosts have confirmed, with the regions and hosts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 #[error("not confirmed yet: {0}")]
 struct NotConfirmed(String);
 
-async fn waiting(
+async fn staged_status(
     operator: &Operator,
     head: &Head,
     hosts: &[notes::HostRow],
@@ -129,9 +129,9 @@
     };
     let terms = operator.store.terms(head.row.terms).await?;
     let now: Monotonic = operator.clock.now();
-    let mut acceptor = AckTracker::new(staged.seq, terms.into(), now);
-    acceptor.on_hosts(now, hosts);
-    Ok(Some(acceptor.status()))
+    let mut tracker = AckTracker::new(staged.seq, terms.into(), now);
+    tracker.on_hosts(now, hosts);
+    Ok(Some(tracker.status()))
 }
 
 fn print_head(format: Format, head: &Head) {
@@ -164,12 +164,12 @@
     }
 }
 
-fn missing(status: &AcceptStatus) -> String {
-    let behind = status
+fn unconfirmed_by(status: &AcceptStatus) -> String {
+    let unconfirmed = status
         .regions
         .iter()
         .filter(|(_, region)| region.counted < region.needed);
-    let names: Vec<_> = behind
+    let names: Vec<_> = unconfirmed
         .map(|(name, region)| format!("{name} ({})", region.missing.join(", ")))
         .collect();
     match names.is_empty() {
--- a/src/cmd/note/mod.rs
+++ b/src/cmd/note/mod.rs
@@ -1,8 +1,8 @@
-//! The operators' `note` commands.
+//! The `note` commands, with which operators check, accept and list release notes.
 
 mod args;
 mod files;
-mod force;
+mod lifecycle;
 mod paint;
 mod session;
 
@@ -15,13 +15,13 @@
 /// Runs one of the `note` commands.
 pub(crate) fn note(command: &NoteCommand) -> Result<(), Report<CommandError>> {
     match command {
-        NoteCommand::Init(args) => force::init(args),
+        NoteCommand::Init(args) => lifecycle::init(args),
         NoteCommand::Check(args) => files::check(args),
         NoteCommand::Diff(args) => files::show_diff(args),
-        NoteCommand::Accept(args) => force::accept(args),
-        NoteCommand::Abandon(args) => force::abandon(args),
-        NoteCommand::Status(args) => force::status(args),
-        NoteCommand::Log(args) => force::log(args),
+        NoteCommand::Accept(args) => lifecycle::accept(args),
+        NoteCommand::Abandon(args) => lifecycle::abandon(args),
+        NoteCommand::Status(args) => lifecycle::status(args),
+        NoteCommand::Log(args) => lifecycle::log(args),
         NoteCommand::Rebase(args) => files::rebase(args),
         NoteCommand::Key(output) => files::make_key(*output),
     }
--- a/src/cmd/note/paint.rs
+++ b/src/cmd/note/paint.rs
@@ -2,32 +2,32 @@
 
 use notes::{EntryAction, EntryChange};
 
-/// Colours for a terminal; none elsewhere, or if NO_COLOR is set.
+/// Colours text for a terminal. Output elsewhere, or with NO_COLOR set, has no colours.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Paint {
     /// Whether to use colours.
-    is_on: bool,
+    is_enabled: bool,
 }
 
-/// A colour of text, as its number in an escape sequence.
+/// Text colour; the value is its number in an escape sequence.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Colour {
-    /// For what is wrong or withdrawn.
+    /// For errors and withdrawn entries.
     Red = 31,
-    /// For what is right or added.
+    /// For success and added entries.
     Green = 32,
-    /// For what waits or is changed.
+    /// For staged changes and changed entries.
     Yellow = 33,
 }
 
 impl Paint {
     pub(super) fn for_stdout() -> Self {
-        let is_on = std::io::stdout().is_terminal() && std::env::var_os("NO_COLOR").is_none();
-        Self { is_on }
+        let is_enabled = std::io::stdout().is_terminal() && std::env::var_os("NO_COLOR").is_none();
+        Self { is_enabled }
     }
 
     pub(super) fn text(self, colour: Colour, text: impl std::fmt::Display) -> String {
-        match self.is_on {
+        match self.is_enabled {
             true => format!("\x1b[{}m{text}\x1b[0m", colour as u8),
             false => text.to_string(),
         }
--- a/src/cmd/note/session.rs
+++ b/src/cmd/note/session.rs
@@ -10,10 +10,10 @@
 
 use crate::exit::CommandError;
 
-/// Longest wait for one answer of the platform.
+/// Maximum wait for one answer of the platform.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Runs an operator's work against the platform at an address.
+/// Runs an asynchronous operation with an operator for the platform at an address.
 pub(super) fn with_operator<T, F: Future<Output = Result<T, Report<NoteError>>>>(
     addr: SocketAddr,
     work: impl FnOnce(Operator) -> F,
@@ -28,14 +28,15 @@
         store: NoteStore::new(platform.clone(), platform),
         clock: Arc::new(SystemClock::new()),
     };
-    settle(smol::block_on(ex.run(work(operator))))
+    with_exit_code(smol::block_on(ex.run(work(operator))))
 }
 
-/// Gives a failure its exit code.
-pub(super) fn settle<T>(done: Result<T, Report<NoteError>>) -> Result<T, Report<CommandError>> {
-    let kind = match done.as_ref().map_err(Report::current_context) {
+/// Adds the command error that selects the exit code: `Failed` for errors and malformed data of the platform,
+/// else `Usage`.
+pub(super) fn with_exit_code<T>(result: Result<T, Report<NoteError>>) -> Result<T, Report<CommandError>> {
+    let kind = match result.as_ref().map_err(Report::current_context) {
         Err(NoteError::Platform(_) | NoteError::Malformed { .. }) => CommandError::Failed,
         _ => CommandError::Usage,
     };
-    done.change_context(kind)
+    result.change_context(kind)
 }
--- a/src/cmd/serve.rs
+++ b/src/cmd/serve.rs
@@ -12,10 +12,10 @@
 use crate::cli::ServeArgs;
 use crate::exit::CommandError;
 
-/// Log lines that wait for the writer thread.
-const LOG_QUEUE: usize = 16_384;
+/// Maximum number of log lines that wait for the writer thread.
+const LOG_QUEUE_CAPACITY: usize = 16_384;
 
-/// Runs an entry host until a signal asks it to end.
+/// Runs an entry host until SIGTERM or SIGINT, then drains it.
 pub(crate) fn serve(args: &ServeArgs) -> Result<(), Report<CommandError>> {
     let Some(file) = &args.config else {
         return serve_platform();
@@ -25,50 +25,50 @@
     let (log, guard) = logger(settings.log.format);
     let daemon = Daemon::start(settings, log).change_context(CommandError::Failed)?;
     let _ = smol::block_on(signals.next());
-    let done = daemon.drain().change_context(CommandError::Failed);
+    let result = daemon.drain().change_context(CommandError::Failed);
     drop(guard);
-    done
+    result
 }
 
-/// Runs an entry host on the users' platform until a signal asks it to end.
+/// Runs an entry host on the users' platform until SIGTERM or SIGINT, then drains it. SIGHUP is ignored.
 fn serve_platform() -> Result<(), Report<CommandError>> {
     let file = std::env::var(platform::SETTINGS_VARIABLE).change_context(CommandError::Usage)?;
     let settings = platform::load_settings(file.as_ref()).change_context(CommandError::Usage)?;
     let mut signals =
         Signals::new([Signal::Term, Signal::Int, Signal::Hup]).change_context(CommandError::Failed)?;
     let (log, guard) = logger(LogFormat::Json);
-    let parts = {
+    let ports = {
         let settings = settings.clone();
         move |ex: &http_io::Executor| platform::ports(&settings, ex)
     };
-    let daemon = gateway::Daemon::start(settings, parts, log).change_context(CommandError::Failed)?;
-    // Nothing that may change in the file while the process runs is used.
+    let daemon = gateway::Daemon::start(settings, ports, log).change_context(CommandError::Failed)?;
+    // No setting that can change in the file while the process runs is used, so SIGHUP reloads nothing.
     while let Some(Ok(Signal::Hup)) = smol::block_on(signals.next()) {}
-    let done = daemon.drain().change_context(CommandError::Failed);
+    let result = daemon.drain().change_context(CommandError::Failed);
     drop(guard);
-    done
+    result
 }
 
-/// A logger to standard error; its lines are written until the guard is dropped.
+/// Returns a logger to standard error and a guard; dropping the guard writes the queued lines.
 fn logger(format: LogFormat) -> (Logger, slog_async::AsyncGuard) {
     match format {
         LogFormat::Text => {
             let decorator = slog_term::TermDecorator::new().stderr().build();
-            background(slog_term::FullFormat::new(decorator).build().fuse())
+            async_logger(slog_term::FullFormat::new(decorator).build().fuse())
         }
         LogFormat::Json => {
             let lines = slog_json::Json::default(std::io::stderr()).fuse();
             let clock = Arc::new(SystemClock::new());
-            background(LogBudget::new(lines, LineLimits::default(), clock))
+            async_logger(LogBudget::new(lines, LineLimits::default(), clock))
         }
     }
 }
 
-fn background(
+fn async_logger(
     drain: impl Drain<Ok = (), Err = slog::Never> + Send + 'static,
 ) -> (Logger, slog_async::AsyncGuard) {
     let (drain, guard) = slog_async::Async::new(drain)
-        .chan_size(LOG_QUEUE)
+        .chan_size(LOG_QUEUE_CAPACITY)
         .build_with_guard();
     (Logger::root(drain.fuse(), o!()), guard)
 }
--- a/src/cmd/stand_in.rs
+++ b/src/cmd/stand_in.rs
@@ -12,19 +12,20 @@
 use crate::cli::{StandInArgs, StandInKind};
 use crate::exit::CommandError;
 
-/// Runs a stand-in until a signal asks it to end.
+/// Runs a stand-in until SIGTERM or SIGINT.
 pub(crate) fn stand_in(args: &StandInArgs) -> Result<(), Report<CommandError>> {
     match args.kind {
-        StandInKind::Platform => serve(args, Platform::start),
-        StandInKind::Engine => serve(args, Engine::start),
-        StandInKind::Service => serve(args, Service::start),
-        StandInKind::Store => serve(args, Store::start),
+        StandInKind::Platform => run(args, Platform::start),
+        StandInKind::Engine => run(args, Engine::start),
+        StandInKind::Service => run(args, Service::start),
+        StandInKind::Store => run(args, Store::start),
     }
 }
 
+/// Function that starts a stand-in on an address with its settings.
 type Start<C, T> = fn(&Executor, SocketAddr, C) -> Result<Running<T>, Report<HttpError>>;
 
-fn serve<C: DeserializeOwned + Default, T>(
+fn run<C: DeserializeOwned + Default, T>(
     args: &StandInArgs,
     start: Start<C, T>,
 ) -> Result<(), Report<CommandError>> {
@@ -42,7 +43,7 @@
     }))
 }
 
-/// Settings from a YAML file, or the defaults.
+/// Returns the settings from a YAML file, or the defaults without a file.
 fn settings<C: DeserializeOwned + Default>(file: Option<&Path>) -> Result<C, Report<CommandError>> {
     let Some(file) = file else {
         return Ok(C::default());
--- a/src/cmd/try_it.rs
+++ b/src/cmd/try_it.rs
@@ -9,7 +9,7 @@
 use crate::cli::{OutputFormat, TryArgs};
 use crate::exit::CommandError;
 
-/// Shows how many requests have ended.
+/// Progress bar that counts finished requests.
 struct Progress(ProgressBar);
 
 impl PlayObserver for Progress {
@@ -18,7 +18,7 @@
     }
 }
 
-/// Plays a trial and prints its report; fails if a promise was broken.
+/// Runs a trial and prints its report; fails if a promise is broken.
 pub(crate) fn try_it(args: &TryArgs) -> Result<(), Report<CommandError>> {
     let preset = super::preset(&args.preset)?;
     let cfg = TrialConfig {
--- a/src/exit.rs
+++ b/src/exit.rs
@@ -10,7 +10,7 @@
 /// Exit code for a failure while running.
 const EXIT_FAILED: u8 = 1;
 
-/// Why a command failed.
+/// Reason why a command failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub(crate) enum CommandError {
@@ -26,10 +26,10 @@
     /// There is no preset of this name.
     #[error("there is no preset of this name; known are permisos-verdes, cadwaladr and short")]
     UnknownPreset,
-    /// A log can not be opened.
+    /// A log file can not be opened.
     #[error("{} can not be opened", .0.display())]
-    NoLog(PathBuf),
-    /// No line names the request.
+    OpenLog(PathBuf),
+    /// No line of the logs contains the request id.
     #[error("no line names the request {0}")]
     UnknownRequest(String),
     /// A promise was broken.
@@ -37,9 +37,9 @@
     BrokenPromise,
 }
 
-/// Prints the causes of a failure, outermost first, and gives the exit code.
-pub(crate) fn code_of(done: Result<(), Report<CommandError>>) -> ExitCode {
-    let Err(report) = done else {
+/// Prints the causes of a failure, outermost first, and returns the exit code.
+pub(crate) fn exit_code(result: Result<(), Report<CommandError>>) -> ExitCode {
+    let Err(report) = result else {
         return ExitCode::SUCCESS;
     };
     for (depth, cause) in causes(&report).iter().enumerate() {
@@ -51,7 +51,7 @@
         CommandError::NotAccepted => ExitCode::from(EXIT_NOT_ACCEPTED),
         CommandError::Failed
         | CommandError::UnknownPreset
-        | CommandError::NoLog(_)
+        | CommandError::OpenLog(_)
         | CommandError::UnknownRequest(_)
         | CommandError::BrokenPromise => ExitCode::from(EXIT_FAILED),
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -11,7 +11,7 @@
 use cli::{Cli, Command, ConfigCommand};
 
 fn main() -> ExitCode {
-    let done = match Cli::parse().command {
+    let result = match Cli::parse().command {
         Command::Serve(args) => cmd::serve(&args),
         Command::Config(ConfigCommand::Check { file, platform }) => cmd::check_config(&file, platform),
         Command::Config(ConfigCommand::Explain { platform }) => cmd::explain_config(platform),
@@ -24,5 +24,5 @@
         Command::Load(args) => cmd::load(&args),
         Command::BenchPolicy(args) => cmd::bench_policy(&args),
     };
-    exit::code_of(done)
+    exit::exit_code(result)
 }
