--- a/tests/note.rs
+++ b/tests/note.rs
@@ -1,4 +1,4 @@
-//! The `note` commands against a stand-in of the platform.
+//! Runs the `note` commands of the binary against a stand-in of the platform.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -8,22 +8,22 @@
 use http_io::Executor;
 use standins::{Platform, PlatformConfig, Running};
 
-/// A platform on a thread of its own.
-struct World {
-    platform: Running<Platform>,
+/// A stand-in of the platform that runs on its own thread, with a directory for note files.
+struct TestPlatform {
+    stand_in: Running<Platform>,
     stop: async_channel::Sender<()>,
     thread: std::thread::JoinHandle<()>,
     dir: tempfile::TempDir,
 }
 
-/// What a command printed and returned.
-struct Ran {
+/// Exit code, standard output and standard error of a command.
+struct CommandOutput {
     code: i32,
     out: String,
     err: String,
 }
 
-impl World {
+impl TestPlatform {
     fn start() -> Self {
         let ex: Executor = Arc::new(smol::Executor::new());
         let (stop, stopped) = async_channel::bounded::<()>(1);
@@ -35,7 +35,7 @@
         });
         let addr: SocketAddr = ([127, 0, 0, 1], 0).into();
         Self {
-            platform: Platform::start(&ex, addr, PlatformConfig::default()).unwrap(),
+            stand_in: Platform::start(&ex, addr, PlatformConfig::default()).unwrap(),
             stop,
             thread,
             dir: tempfile::tempdir().unwrap(),
@@ -48,78 +48,78 @@
         path
     }
 
-    /// Runs a command that talks to the platform.
-    fn note(&self, args: &[&str]) -> Ran {
-        let addr = self.platform.addr().to_string();
+    /// Runs a `note` command with the address of the platform.
+    fn note(&self, args: &[&str]) -> CommandOutput {
+        let addr = self.stand_in.addr().to_string();
         run(&[args, &["--platform", &addr]].concat())
     }
 
     fn stop(self) {
-        smol::block_on(self.platform.stop());
+        smol::block_on(self.stand_in.stop());
         drop(self.stop);
         self.thread.join().unwrap();
     }
 }
 
-fn run(args: &[&str]) -> Ran {
+fn run(args: &[&str]) -> CommandOutput {
     let mut command = Command::new(env!("CARGO_BIN_EXE_laburnumtally"));
     let output = command.arg("note").args(args).output().unwrap();
-    Ran {
+    CommandOutput {
         code: output.status.code().unwrap(),
         out: String::from_utf8(output.stdout).unwrap(),
         err: String::from_utf8(output.stderr).unwrap(),
     }
 }
 
-fn text(path: &Path) -> &str {
+fn path_str(path: &Path) -> &str {
     path.to_str().unwrap()
 }
 
 #[test]
 fn notes_are_accepted_listed_and_rebased() {
-    let world = World::start();
-    let mill = world.file(
+    let platform = TestPlatform::start();
+    let mill = platform.file(
         "mill.yaml",
         "id: mill\nbase: 0\nsummary: Open\nadd:\n  workspaces: {mill: {}}\n",
     );
-    let late = world.file(
+    let late = platform.file(
         "late.yaml",
         "# Later.\nid: late\nbase: 0 # old\nadd:\n  workspaces: {yard: {}}\n",
     );
-    let clash = world.file(
+    let clash = platform.file(
         "clash.yaml",
         "id: clash\nbase: 0\nadd:\n  workspaces: {mill: {}}\n",
     );
-    let missing = world.note(&["accept", text(&mill), "--wait", "0"]);
+    let missing = platform.note(&["accept", path_str(&mill), "--wait", "0"]);
     assert_eq!(missing.code, 2);
     insta::assert_snapshot!(missing.err, @"error: the platform holds no release notes yet");
-    assert_eq!(world.note(&["init", "--freshness-ms", "50"]).code, 0);
+    assert_eq!(platform.note(&["init", "--freshness-ms", "50"]).code, 0);
 
-    let accepted = world.note(&["accept", text(&mill)]);
+    let accepted = platform.note(&["accept", path_str(&mill)]);
     assert_eq!(accepted.code, 0);
     insta::assert_snapshot!(accepted.out, @"in force: version 1 (change 2)");
-    let refused = world.note(&["accept", text(&clash)]);
+    let refused = platform.note(&["accept", path_str(&clash)]);
     assert_eq!(refused.code, 2);
     insta::assert_snapshot!(refused.err, @"error: the note clashes with mill in: workspaces.mill");
-    assert_eq!(world.note(&["rebase", text(&clash)]).code, 2);
+    assert_eq!(platform.note(&["rebase", path_str(&clash)]).code, 2);
 
-    let rebased = world.note(&["rebase", text(&late)]);
+    let rebased = platform.note(&["rebase", path_str(&late)]);
     insta::assert_snapshot!(rebased.out, @"late: base 0 -> 1");
     let rewritten = std::fs::read_to_string(&late).unwrap();
     assert!(rewritten.starts_with("# Later.\nid: late\nbase: 1 # old\n"));
-    assert_eq!(world.note(&["accept", text(&late)]).code, 0);
-    insta::assert_snapshot!(world.note(&["log"]).out, @r#"
+    assert_eq!(platform.note(&["accept", path_str(&late)]).code, 0);
+    insta::assert_snapshot!(platform.note(&["log"]).out, @r#"
 1  mill  1 entries  Open
 2  late  1 entries
 "#);
-    insta::assert_snapshot!(world.note(&["status"]).out, @"in force: version 2 (change 3)");
-    world.stop();
+    insta::assert_snapshot!(platform.note(&["status"]).out, @"in force: version 2 (change 3)");
+    platform.stop();
 }
 
 #[test]
 fn a_note_that_no_region_confirms_stays_staged() {
-    let world = World::start();
-    let store = world.platform.state().table();
+    let platform = TestPlatform::start();
+    let store = platform.stand_in.state().table();
     let members = ["a", "b", "c"].map(|name| (name.into(), 1));
     let roster = notes::RegionRoster {
         serving: 2,
@@ -130,7 +130,7 @@
         regions: [("gwynedd".into(), roster)].into(),
         ..notes::Terms::default()
     };
-    assert_eq!(world.note(&["init", "--freshness-ms", "50"]).code, 0);
+    assert_eq!(platform.note(&["init", "--freshness-ms", "50"]).code, 0);
     let row = metadata::Write::Put {
         key: "notes/terms/00000000000000000001".to_owned(),
         value: serde_json::to_value(&terms).unwrap(),
@@ -139,8 +139,8 @@
         conditions: Vec::new(),
         writes: vec![row],
     });
-    let mill = world.file("mill.yaml", "id: mill\nbase: 0\nadd:\n  workspaces: {mill: {}}\n");
-    let waiting = world.note(&["accept", text(&mill), "--wait", "1"]);
+    let mill = platform.file("mill.yaml", "id: mill\nbase: 0\nadd:\n  workspaces: {mill: {}}\n");
+    let waiting = platform.note(&["accept", path_str(&mill), "--wait", "1"]);
     assert_eq!(waiting.code, 3);
     insta::assert_snapshot!(waiting.out, @r#"
   region gwynedd: 0 of 2 needed
@@ -148,24 +148,24 @@
 mill is staged and not accepted
 "#);
     insta::assert_snapshot!(waiting.err, @"error: not confirmed yet: gwynedd (a, b, c)");
-    insta::assert_snapshot!(world.note(&["status"]).out, @r#"
+    insta::assert_snapshot!(platform.note(&["status"]).out, @r#"
 in force: version 0 (change 1)
 staged: mill (change 2)
   region gwynedd: 0 of 2 needed
     not confirmed by: a, b, c
 "#);
-    insta::assert_snapshot!(world.note(&["abandon"]).out, @"in force: version 0 (change 1)");
-    world.stop();
+    insta::assert_snapshot!(platform.note(&["abandon"]).out, @"in force: version 0 (change 1)");
+    platform.stop();
 }
 
 #[test]
 fn errors_name_file_line_and_field() {
-    let world = World::start();
-    let wrong = world.file(
+    let platform = TestPlatform::start();
+    let wrong = platform.file(
         "wrong.yaml",
         "id: wrong\nbase: 0\nadd:\n  workspaces:\n    mill: {priority: 12}\n",
     );
-    let checked = run(&["check", text(&wrong), "--format", "json"]);
+    let checked = run(&["check", path_str(&wrong), "--format", "json"]);
     assert_eq!(checked.code, 2);
     insta::assert_snapshot!(checked.out, @r#"
 {
@@ -183,7 +183,7 @@
   "ok": false
 }
 "#);
-    world.stop();
+    platform.stop();
 }
 
 #[test]
@@ -198,9 +198,9 @@
             .map(|entry| entry.unwrap().path())
             .collect();
         files.sort();
-        let mut args = vec!["check".to_owned(), text(files.last().unwrap()).to_owned()];
+        let mut args = vec!["check".to_owned(), path_str(files.last().unwrap()).to_owned()];
         for earlier in &files[..files.len() - 1] {
-            args.extend(["--after".to_owned(), text(earlier).to_owned()]);
+            args.extend(["--after".to_owned(), path_str(earlier).to_owned()]);
         }
         let args: Vec<_> = args.iter().map(String::as_str).collect();
         let checked = run(&args);
@@ -210,8 +210,8 @@
 
 #[test]
 fn a_key_matches_its_digest() {
-    let made = run(&["key", "--format", "json"]);
-    let made: serde_json::Value = serde_json::from_str(&made.out).unwrap();
-    let key = made["key"].as_str().unwrap();
-    assert_eq!(made["digest"], utils::digest(key.as_bytes()).to_string());
+    let output = run(&["key", "--format", "json"]);
+    let output: serde_json::Value = serde_json::from_str(&output.out).unwrap();
+    let key = output["key"].as_str().unwrap();
+    assert_eq!(output["digest"], utils::digest(key.as_bytes()).to_string());
 }
--- a/tests/soak/plan.rs
+++ b/tests/soak/plan.rs
@@ -5,105 +5,109 @@
 
 use crate::common::{EngineMode, Link};
 
-/// Part of a run in which there is only planned work.
-const PLANNED_PART: f64 = 0.35;
-/// Pause between troubles, in milliseconds.
-const PAUSE_MS: std::ops::Range<u64> = 60..500;
-/// Length of a trouble, in milliseconds.
-const LENGTH_MS: std::ops::Range<u64> = 150..1_800;
-/// Length of a pause of a process, in milliseconds: long enough for others to take over what it held.
-const PAUSE_LENGTH_MS: std::ops::Range<u64> = 150..4_000;
+/// Share of a run, from its start, in which there is only planned work.
+const PLANNED_SHARE: f64 = 0.35;
+/// Interval between the starts of two disruptions, in milliseconds.
+const INTERVAL_MS: std::ops::Range<u64> = 60..500;
+/// Duration of a disruption, in milliseconds.
+const DURATION_MS: std::ops::Range<u64> = 150..1_800;
+/// Duration of a pause of a process, in milliseconds. Long pauses exceed its leases, which other hosts then
+/// take over.
+const PROCESS_PAUSE_MS: std::ops::Range<u64> = 150..4_000;
 
-/// Size and length of a run.
+/// Number of hosts, engines and callers of a run, and its duration.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Size {
     pub hosts: usize,
     pub engines: usize,
     pub callers: usize,
-    pub length: Duration,
+    pub duration: Duration,
 }
 
-/// Something that happens in a run.
+/// Planned work or a fault that is injected in a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Trouble {
-    /// SIGTERM, and a new process once it has ended.
+pub(crate) enum Disruption {
+    /// Sends SIGTERM to a host and starts a new process after its exit.
     Term(usize),
-    /// SIGHUP.
+    /// Sends SIGHUP to a host.
     Hup(usize),
-    /// Another declaration.
+    /// Writes a new declaration of routes, workspaces and services.
     Declare,
-    /// New weights.
-    NameWeights,
-    /// SIGKILL, and a new process.
+    /// Declares a new weight version.
+    DeclareWeights,
+    /// Sends SIGKILL to a host and starts a new process.
     Kill(usize),
-    /// SIGSTOP, and SIGCONT.
+    /// Sends SIGSTOP to a host, and SIGCONT at the end of the duration.
     Pause(usize),
-    /// As [`Trouble::Pause`], with new weights named right before.
-    PauseInLoad(usize),
-    /// A host's line to the store.
-    StoreLine(usize, Link),
-    /// The store turns all away.
-    StoreRefuses,
-    /// The store forgets its history.
-    StoreForgets,
-    /// The line to an engine.
-    EngineLine(usize, Link),
-    /// What an engine does to requests.
-    EngineMood(usize, EngineMode),
-    /// An engine restarts under its name.
+    /// Declares new weights and pauses a host, as [`Disruption::Pause`] does, while engines load them.
+    PauseDuringLoad(usize),
+    /// Sets the state of a host's link to the store.
+    StoreLink(usize, Link),
+    /// The store rejects every call.
+    StoreRejects,
+    /// The store discards its history of changes.
+    StoreCompacts,
+    /// Sets the state of the link to an engine.
+    EngineLink(usize, Link),
+    /// Sets how an engine treats requests.
+    EngineMode(usize, EngineMode),
+    /// An engine restarts under the same name.
     EngineRestarts(usize),
-    /// An engine is replaced by another one at its address.
+    /// Another engine replaces an engine at the same address.
     EngineReplaced(usize),
-    /// An engine's entry is missing for a while.
+    /// An engine's entry is missing from the store for the duration.
     EntryLapses(usize),
 }
 
-impl Trouble {
-    /// Whether it is planned work, beside which no request may be lost.
+impl Disruption {
+    /// Whether it is planned work, during which no answer may be lost.
     pub(crate) fn is_planned(self) -> bool {
         matches!(
             self,
-            Self::Term(_) | Self::Hup(_) | Self::Declare | Self::NameWeights
+            Self::Term(_) | Self::Hup(_) | Self::Declare | Self::DeclareWeights
         )
     }
 }
 
-/// A trouble, when it begins and how long it lasts.
+/// A disruption in the plan of a run.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Step {
+    /// Start, as time since the start of the run.
     pub at: Duration,
-    pub length: Duration,
-    pub trouble: Trouble,
+    /// Time until the disruption is reverted.
+    pub duration: Duration,
+    pub disruption: Disruption,
 }
 
-/// The troubles of a seed, by time. They overlap; first there is only planned work.
+/// Returns the disruptions of a seed, ordered by start. They overlap; the first part of the run has only
+/// planned work.
 pub(crate) fn plan(seed: u64, size: Size) -> Vec<Step> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut at = Duration::from_millis(400);
     let mut steps = Vec::new();
-    while at < size.length {
-        let is_planned = at < size.length.mul_f64(PLANNED_PART);
-        let trouble = draw(&mut rng, size, is_planned);
-        let length = match trouble {
-            Trouble::Pause(_) | Trouble::PauseInLoad(_) => PAUSE_LENGTH_MS,
-            _ => LENGTH_MS,
+    while at < size.duration {
+        let is_planned = at < size.duration.mul_f64(PLANNED_SHARE);
+        let disruption = choose_disruption(&mut rng, size, is_planned);
+        let duration = match disruption {
+            Disruption::Pause(_) | Disruption::PauseDuringLoad(_) => PROCESS_PAUSE_MS,
+            _ => DURATION_MS,
         };
         steps.push(Step {
             at,
-            length: Duration::from_millis(rng.random_range(length)),
-            trouble,
+            duration: Duration::from_millis(rng.random_range(duration)),
+            disruption,
         });
-        at += Duration::from_millis(rng.random_range(PAUSE_MS));
+        at += Duration::from_millis(rng.random_range(INTERVAL_MS));
     }
     steps
 }
 
-fn draw(rng: &mut impl Rng, size: Size, is_planned: bool) -> Trouble {
+fn choose_disruption(rng: &mut impl Rng, size: Size, is_planned: bool) -> Disruption {
     let host = rng.random_range(0..size.hosts);
     let engine = rng.random_range(0..size.engines);
     let slow = Link::Slow(Duration::from_millis(rng.random_range(20..400)));
-    let line = [slow, Link::Stalled, Link::OneWay, Link::Down][rng.random_range(0..4)];
-    let moods = [
+    let link = [slow, Link::Stalled, Link::OneWay, Link::Down][rng.random_range(0..4)];
+    let modes = [
         EngineMode::Failing,
         EngineMode::Truncating,
         EngineMode::Unsolicited,
@@ -112,20 +116,20 @@
     ];
     let kinds = if is_planned { 5 } else { 16 };
     match rng.random_range(0..kinds) {
-        0 | 1 => Trouble::Term(host),
-        2 => Trouble::Hup(host),
-        3 => Trouble::Declare,
-        4 => Trouble::NameWeights,
-        5 => Trouble::Kill(host),
-        6 => Trouble::Pause(host),
-        7 | 8 => Trouble::StoreLine(host, line),
-        9 => Trouble::StoreRefuses,
-        10 => Trouble::StoreForgets,
-        11 => Trouble::EngineLine(engine, line),
-        12 => Trouble::EngineMood(engine, moods[rng.random_range(0..moods.len())]),
-        13 if rng.random() => Trouble::EngineRestarts(engine),
-        13 => Trouble::EngineReplaced(engine),
-        14 => Trouble::PauseInLoad(host),
-        _ => Trouble::EntryLapses(engine),
+        0 | 1 => Disruption::Term(host),
+        2 => Disruption::Hup(host),
+        3 => Disruption::Declare,
+        4 => Disruption::DeclareWeights,
+        5 => Disruption::Kill(host),
+        6 => Disruption::Pause(host),
+        7 | 8 => Disruption::StoreLink(host, link),
+        9 => Disruption::StoreRejects,
+        10 => Disruption::StoreCompacts,
+        11 => Disruption::EngineLink(engine, link),
+        12 => Disruption::EngineMode(engine, modes[rng.random_range(0..modes.len())]),
+        13 if rng.random() => Disruption::EngineRestarts(engine),
+        13 => Disruption::EngineReplaced(engine),
+        14 => Disruption::PauseDuringLoad(host),
+        _ => Disruption::EntryLapses(engine),
     }
 }
--- a/tests/soak/process.rs
+++ b/tests/soak/process.rs
@@ -11,54 +11,54 @@
 use crate::common::deployment::{GRACE_S, HostFile};
 use crate::common::{Caller, Proxy, WireStore};
 
-/// Ports of a host: for callers, for the balancer, for other hosts.
+/// Ports of a host: for callers, for readiness checks of the balancer, and for peers.
 const PORTS: [u16; 3] = [7_001, 7_002, 7_003];
-/// Pause between looks at a process or its readiness.
-const LOOK: Duration = Duration::from_millis(10);
+/// Interval between checks of a process or its readiness.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A loopback address of the host alone, so that its ports are free whatever other sockets the machine opens.
-fn own_ip(index: usize) -> Ipv4Addr {
+/// Returns a loopback address for one host. Its ports are free whatever other sockets the machine opens.
+fn host_ip(index: usize) -> Ipv4Addr {
     let [_, _, high, low] = std::process::id().to_be_bytes();
     Ipv4Addr::new(127, 100 + index as u8, high, low)
 }
 
-/// Name of a host.
+/// Returns the name of a host.
 pub(crate) fn host_name(index: usize) -> String {
     format!("host-{index}")
 }
 
-/// An entry host: the product's own program, in a process of its own.
+/// An entry host that runs as a separate process of the product's binary.
 pub(crate) struct Host {
-    /// Its settings.
+    /// Contents of its settings file.
     pub file: HostFile,
-    /// Its line to the store.
-    pub store_line: Proxy,
-    /// Counts its starts.
-    pub starts: AtomicU64,
+    /// Link to the store.
+    pub store_link: Proxy,
+    /// Number of times that its process was started.
+    pub start_count: AtomicU64,
     settings_path: PathBuf,
     log_path: PathBuf,
     child: Mutex<Option<Child>>,
 }
 
 impl Host {
-    /// Describes a host; nothing runs yet.
+    /// Creates the proxy and settings of a host without starting its process.
     pub(crate) fn new(dir: &Path, index: usize, store: &WireStore) -> Self {
-        let store_line = Proxy::start(store.address);
-        let ip = own_ip(index);
+        let store_link = Proxy::start(store.address);
+        let ip = host_ip(index);
         let file = HostFile {
             name: host_name(index),
             callers: (ip, PORTS[0]).into(),
             readiness: (ip, PORTS[1]).into(),
             peers: (ip, PORTS[2]).into(),
             seeds: Vec::new(),
-            store: store_line.address,
+            store: store_link.address,
         };
         Self {
             settings_path: dir.join(format!("{}.yaml", file.name)),
             log_path: dir.join(format!("{}.log", file.name)),
             file,
-            store_line,
-            starts: AtomicU64::new(0),
+            store_link,
+            start_count: AtomicU64::new(0),
             child: Mutex::new(None),
         }
     }
@@ -77,37 +77,37 @@
             .stderr(log)
             .spawn()
             .unwrap();
-        self.starts.fetch_add(1, Ordering::SeqCst);
+        self.start_count.fetch_add(1, Ordering::SeqCst);
         *self.child.lock().unwrap() = Some(child);
     }
 
-    /// Sends a signal to the process that this host has started.
+    /// Sends a signal to the process of this host, if it has one.
     pub(crate) fn signal(&self, signal: Signal) {
         if let Some(child) = self.child.lock().unwrap().as_ref() {
-            // A process that has ended is not waited for yet, so its number is not another's.
+            // A process in `child` has not been reaped, so its PID can not belong to another process.
             let _ = kill_process(Pid::from_child(child), signal);
         }
     }
 
-    /// Waits for the process to end by itself; false if it is still there long after its grace.
-    pub(crate) fn has_ended_in_time(&self) -> bool {
-        let give_up = Instant::now() + Duration::from_secs(GRACE_S) * 5;
-        while Instant::now() < give_up {
+    /// Waits for the process to exit; returns false if it still runs after five times its grace period.
+    pub(crate) fn wait_for_exit(&self) -> bool {
+        let deadline = Instant::now() + Duration::from_secs(GRACE_S) * 5;
+        while Instant::now() < deadline {
             let mut child = self.child.lock().unwrap();
-            let is_over = child
+            let has_exited = child
                 .as_mut()
                 .is_none_or(|child| child.try_wait().unwrap().is_some());
-            if is_over {
+            if has_exited {
                 *child = None;
                 return true;
             }
             drop(child);
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
         false
     }
 
-    /// Whether a process that nobody has ended is gone.
+    /// Returns whether the process has exited without being stopped by the test.
     pub(crate) fn has_crashed(&self) -> bool {
         let mut child = self.child.lock().unwrap();
         child
@@ -115,10 +115,10 @@
             .is_none_or(|child| child.try_wait().unwrap().is_some())
     }
 
-    /// Ends the process at once.
+    /// Kills the process and reaps it.
     pub(crate) fn kill(&self) {
         if let Some(mut child) = self.child.lock().unwrap().take() {
-            // Fails only if it has ended already.
+            // Fails only if the process has exited already.
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -129,12 +129,12 @@
         caller.is_some_and(|mut caller| caller.request("GET", "/v1/readiness", "", "", "").status == 200)
     }
 
-    pub(crate) fn wait_until_ready(&self, give_up: Instant) -> bool {
-        while Instant::now() < give_up {
+    pub(crate) fn wait_until_ready(&self, deadline: Instant) -> bool {
+        while Instant::now() < deadline {
             if self.is_ready() {
                 return true;
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
         false
     }
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -6,116 +6,121 @@
 use rustix::process::Signal;
 use serde_json::json;
 
-use crate::callers::{Ask, Attempt, call};
+use crate::callers::{CallerContext, SentRequest, run_caller};
 use crate::common::deployment::{
     GUEST, WORKSPACES, declare, declare_weights, guest_key, plain_headers, versioned_path,
 };
 use crate::common::{Caller, Engine, EngineMode, Link, Observations, Proxy, WireStore};
-use crate::plan::{Size, Step, Trouble, plan};
+use crate::plan::{Disruption, Size, Step, plan};
 use crate::process::Host;
-use crate::verdict::{Evidence, Harm, judge};
+use crate::violations::{FaultWindow, History, find_violations};
 
-/// Time after which a deployment that does not recover has failed.
-const GIVE_UP: Duration = Duration::from_secs(90);
-/// Time for runs and answers that are under way to end.
-const REST: Duration = Duration::from_millis(500);
-/// Pause before a process that was killed is started again.
-const DOWN_TIME: Duration = Duration::from_millis(250);
-/// Time after weights were named after which the first engines load them.
-const LOAD_BEGUN: Duration = Duration::from_millis(400);
-/// Pause between looks while the deployment recovers.
-const LOOK: Duration = Duration::from_millis(50);
+/// Maximum time for the deployment to start or to recover.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(90);
+/// Time for in-flight runs and answers to complete before the checks.
+const COMPLETION_DELAY: Duration = Duration::from_millis(500);
+/// Pause before a killed process is restarted.
+const RESTART_DELAY: Duration = Duration::from_millis(250);
+/// Time from a declaration of weights until the first engines load them.
+const LOAD_START_DELAY: Duration = Duration::from_millis(400);
+/// Interval between checks of the weights of engines and of the recovery.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a run brought.
+/// Result of a run.
 pub(crate) struct Outcome {
-    /// Promises that were broken.
-    pub broken: Vec<String>,
-    /// Requests sent, and those answered with success.
+    /// Descriptions of the violated promises.
+    pub violations: Vec<String>,
+    /// Number of requests sent, and of those answered with status 200.
     pub requests: (usize, usize),
 }
 
-/// An engine and the line to it.
-struct Place {
+/// An engine and the proxy through which hosts connect to it.
+struct EngineEndpoint {
     engine: Engine,
-    line: Proxy,
+    link: Proxy,
 }
 
-impl Place {
+impl EngineEndpoint {
     fn key(&self) -> String {
         self.engine.instance()
     }
 
     fn register(&self, store: &WireStore) {
-        let entry = self.engine.entry(&self.line.address.to_string());
+        let entry = self.engine.entry(&self.link.address.to_string());
         store.put("servers", &self.key(), &entry);
     }
 }
 
-/// A deployment under trouble.
-struct World {
+/// Hosts, engines and store of a run, with the state of its disruptions.
+struct Deployment {
+    /// Store that hosts reach through a proxy each.
     store: WireStore,
-    places: Vec<Place>,
+    endpoints: Vec<EngineEndpoint>,
     hosts: Vec<Host>,
-    witness: Arc<Observations>,
-    declared: AtomicU64,
-    weights: AtomicU64,
-    replaced: AtomicU64,
-    harms: Mutex<Vec<Harm>>,
-    broken: Mutex<Vec<String>>,
+    observations: Arc<Observations>,
+    /// Version of the newest declaration.
+    declared_version: AtomicU64,
+    /// Newest declared weight version.
+    weight_version: AtomicU64,
+    /// Number of replaced engines, which numbers their instances.
+    replacements: AtomicU64,
+    fault_windows: Mutex<Vec<FaultWindow>>,
+    /// Violations that were found while the run went on.
+    violations: Mutex<Vec<String>>,
 }
 
-/// Plays the troubles of a seed and judges what callers and engines have seen.
+/// Runs the plan of a seed and checks what callers and engines observed against the promises.
 pub(crate) fn soak(seed: u64, size: Size) -> Outcome {
     let dir = tempfile::tempdir().unwrap();
-    let mut world = World::start(dir.path(), size);
+    let mut deployment = Deployment::start(dir.path(), size);
     let stop = AtomicBool::new(false);
-    let ask = &Ask {
-        hosts: &world.hosts,
-        declared: &world.declared,
+    let context = &CallerContext {
+        hosts: &deployment.hosts,
+        declared_version: &deployment.declared_version,
         stop: &stop,
     };
-    let attempts = std::thread::scope(|scope| {
+    let requests = std::thread::scope(|scope| {
         let callers: Vec<_> = (0..size.callers)
-            .map(|number| scope.spawn(move || call(ask, seed, number)))
+            .map(|number| scope.spawn(move || run_caller(context, seed, number)))
             .collect();
-        world.play(&plan(seed, size));
-        world.settle();
+        deployment.run_steps(&plan(seed, size));
+        deployment.wait_for_recovery();
         stop.store(true, Ordering::SeqCst);
-        let attempts = callers.into_iter().flat_map(|caller| caller.join().unwrap());
-        attempts.collect::<Vec<Attempt>>()
+        let requests = callers.into_iter().flat_map(|caller| caller.join().unwrap());
+        requests.collect::<Vec<SentRequest>>()
     });
-    std::thread::sleep(REST);
-    let mut broken = judge(&Evidence {
-        attempts: &attempts,
-        witness: &world.witness,
-        harms: &world.harms.lock().unwrap(),
+    std::thread::sleep(COMPLETION_DELAY);
+    let mut violations = find_violations(&History {
+        requests: &requests,
+        observations: &deployment.observations,
+        fault_windows: &deployment.fault_windows.lock().unwrap(),
     });
-    broken.append(world.broken.get_mut().unwrap());
-    if !broken.is_empty() {
+    violations.append(deployment.violations.get_mut().unwrap());
+    if !violations.is_empty() {
         eprintln!("logs of seed {seed}: {}", dir.keep().display());
     }
-    let served = attempts.iter().filter(|attempt| attempt.reply.status == 200);
+    let served = requests.iter().filter(|request| request.reply.status == 200);
     Outcome {
-        broken,
-        requests: (attempts.len(), served.count()),
+        violations,
+        requests: (requests.len(), served.count()),
     }
 }
 
-impl World {
+impl Deployment {
     fn start(dir: &std::path::Path, size: Size) -> Self {
         let store = WireStore::start();
         declare(&store, 1);
         declare_weights(&store, 1);
-        let witness = Arc::new(Observations::default());
-        let places: Vec<_> = (0..size.engines)
+        let observations = Arc::new(Observations::default());
+        let endpoints: Vec<_> = (0..size.engines)
             .map(|index| {
-                let engine = Engine::start(&format!("engine-{index}"), witness.clone());
-                let line = Proxy::start(engine.backend.address);
-                Place { engine, line }
+                let engine = Engine::start(&format!("engine-{index}"), observations.clone());
+                let link = Proxy::start(engine.backend.address);
+                EngineEndpoint { engine, link }
             })
             .collect();
-        for place in &places {
-            place.register(&store);
+        for endpoint in &endpoints {
+            endpoint.register(&store);
         }
         let mut hosts: Vec<_> = (0..size.hosts)
             .map(|index| Host::new(dir, index, &store))
@@ -125,190 +130,217 @@
             host.file.seeds = seeds.clone();
             host.start();
         }
-        let give_up = Instant::now() + GIVE_UP;
+        let deadline = Instant::now() + RECOVERY_TIMEOUT;
         for host in &hosts {
             assert!(
-                host.wait_until_ready(give_up),
+                host.wait_until_ready(deadline),
                 "{} does not start",
                 host.file.name
             );
         }
         Self {
             store,
-            places,
+            endpoints,
             hosts,
-            witness,
-            declared: AtomicU64::new(1),
-            weights: AtomicU64::new(1),
-            replaced: AtomicU64::new(0),
-            harms: Mutex::default(),
-            broken: Mutex::default(),
+            observations,
+            declared_version: AtomicU64::new(1),
+            weight_version: AtomicU64::new(1),
+            replacements: AtomicU64::new(0),
+            fault_windows: Mutex::default(),
+            violations: Mutex::default(),
         }
     }
 
-    /// Plays all steps, each on a thread of its own so that they overlap; engines register what has changed meanwhile.
-    fn play(&self, steps: &[Step]) {
+    /// Runs each step on its own thread, because steps overlap, and keeps the entries of engines up to date.
+    fn run_steps(&self, steps: &[Step]) {
         let begin = Instant::now();
-        let is_over = AtomicBool::new(false);
-        let busy: Vec<Mutex<()>> = self.hosts.iter().map(|_| Mutex::default()).collect();
+        let is_done = AtomicBool::new(false);
+        let host_locks: Vec<Mutex<()>> = self.hosts.iter().map(|_| Mutex::default()).collect();
         std::thread::scope(|scope| {
-            scope.spawn(|| self.keep_registered(&is_over));
-            std::thread::scope(|troubles| {
+            scope.spawn(|| self.update_entries(&is_done));
+            std::thread::scope(|threads| {
                 for step in steps {
-                    let busy = &busy;
+                    let host_locks = &host_locks;
                     std::thread::sleep((begin + step.at).saturating_duration_since(Instant::now()));
-                    troubles.spawn(move || self.trouble(step, busy));
+                    threads.spawn(move || self.run_step(step, host_locks));
                 }
             });
-            is_over.store(true, Ordering::SeqCst);
+            is_done.store(true, Ordering::SeqCst);
         });
     }
 
-    /// Rewrites the entries of engines whose weights have changed, as engines do.
-    fn keep_registered(&self, is_over: &AtomicBool) {
-        let mut known: Vec<u64> = self.places.iter().map(|place| place.engine.weights()).collect();
-        while !is_over.load(Ordering::SeqCst) {
-            for (place, known) in self.places.iter().zip(&mut known) {
-                let weights = place.engine.weights();
-                if weights != std::mem::replace(known, weights) {
-                    place.register(&self.store);
+    /// Rewrites the entries of engines whose weights have changed, as real engines do, and all entries at the
+    /// end.
+    fn update_entries(&self, is_done: &AtomicBool) {
+        let mut registered: Vec<u64> = self
+            .endpoints
+            .iter()
+            .map(|endpoint| endpoint.engine.weights())
+            .collect();
+        while !is_done.load(Ordering::SeqCst) {
+            for (endpoint, registered) in self.endpoints.iter().zip(&mut registered) {
+                let weights = endpoint.engine.weights();
+                if weights != std::mem::replace(registered, weights) {
+                    endpoint.register(&self.store);
                 }
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
-        for place in &self.places {
-            place.register(&self.store);
+        for endpoint in &self.endpoints {
+            endpoint.register(&self.store);
         }
     }
 
-    fn trouble(&self, step: &Step, busy: &[Mutex<()>]) {
+    /// Runs a step and records the time window of a fault.
+    fn run_step(&self, step: &Step, host_locks: &[Mutex<()>]) {
         let from = Instant::now();
-        self.harm(step, busy);
-        if !step.trouble.is_planned() {
+        self.disrupt(step, host_locks);
+        if !step.disruption.is_planned() {
             let until = Instant::now();
-            let trouble = step.trouble;
-            self.harms.lock().unwrap().push(Harm { trouble, from, until });
+            let disruption = step.disruption;
+            self.fault_windows.lock().unwrap().push(FaultWindow {
+                disruption,
+                from,
+                until,
+            });
         }
     }
 
-    fn harm(&self, step: &Step, busy: &[Mutex<()>]) {
-        let last = || std::thread::sleep(step.length);
-        match step.trouble {
-            Trouble::Declare => {
-                // The store has it before callers use it.
-                let version = self.declared.load(Ordering::SeqCst) + 1;
+    /// Injects the disruption of a step and returns after its end. A disruption of a process is skipped while
+    /// another one is in progress at the same host.
+    fn disrupt(&self, step: &Step, host_locks: &[Mutex<()>]) {
+        let wait = || std::thread::sleep(step.duration);
+        match step.disruption {
+            Disruption::Declare => {
+                // The store has the declaration before callers use its version.
+                let version = self.declared_version.load(Ordering::SeqCst) + 1;
                 declare(&self.store, version);
-                self.declared.fetch_max(version, Ordering::SeqCst);
+                self.declared_version.fetch_max(version, Ordering::SeqCst);
             }
-            Trouble::NameWeights => {
-                declare_weights(&self.store, self.weights.fetch_add(1, Ordering::SeqCst) + 1);
+            Disruption::DeclareWeights => {
+                declare_weights(
+                    &self.store,
+                    self.weight_version.fetch_add(1, Ordering::SeqCst) + 1,
+                );
             }
-            Trouble::Hup(host) => self.hosts[host].signal(Signal::HUP),
-            Trouble::Term(host) => {
-                let Ok(_busy) = busy[host].try_lock() else { return };
+            Disruption::Hup(host) => self.hosts[host].signal(Signal::HUP),
+            Disruption::Term(host) => {
+                let Ok(_lock) = host_locks[host].try_lock() else {
+                    return;
+                };
                 self.hosts[host].signal(Signal::TERM);
-                if !self.hosts[host].has_ended_in_time() {
-                    let fault = format!("{} did not end after SIGTERM", self.hosts[host].file.name);
-                    self.broken.lock().unwrap().push(fault);
+                if !self.hosts[host].wait_for_exit() {
+                    let violation = format!("{} did not exit after SIGTERM", self.hosts[host].file.name);
+                    self.violations.lock().unwrap().push(violation);
                     self.hosts[host].kill();
                 }
                 self.hosts[host].start();
             }
-            Trouble::Kill(host) => {
-                let Ok(_busy) = busy[host].try_lock() else { return };
+            Disruption::Kill(host) => {
+                let Ok(_lock) = host_locks[host].try_lock() else {
+                    return;
+                };
                 self.hosts[host].kill();
-                std::thread::sleep(DOWN_TIME);
+                std::thread::sleep(RESTART_DELAY);
                 self.hosts[host].start();
             }
-            Trouble::Pause(host) => self.pause(host, step.length, busy),
-            Trouble::PauseInLoad(host) => {
-                declare_weights(&self.store, self.weights.fetch_add(1, Ordering::SeqCst) + 1);
-                std::thread::sleep(LOAD_BEGUN);
-                self.pause(host, step.length, busy);
+            Disruption::Pause(host) => self.pause(host, step.duration, host_locks),
+            Disruption::PauseDuringLoad(host) => {
+                declare_weights(
+                    &self.store,
+                    self.weight_version.fetch_add(1, Ordering::SeqCst) + 1,
+                );
+                std::thread::sleep(LOAD_START_DELAY);
+                self.pause(host, step.duration, host_locks);
             }
-            Trouble::StoreLine(host, line) => {
-                self.hosts[host].store_line.set(line);
-                last();
-                self.hosts[host].store_line.set(Link::Normal);
+            Disruption::StoreLink(host, link) => {
+                self.hosts[host].store_link.set(link);
+                wait();
+                self.hosts[host].store_link.set(Link::Normal);
             }
-            Trouble::StoreRefuses => {
+            Disruption::StoreRejects => {
                 self.store.set_rejecting(true);
-                last();
+                wait();
                 self.store.set_rejecting(false);
             }
-            Trouble::StoreForgets => self.store.compact(),
-            Trouble::EngineLine(engine, line) => {
-                self.places[engine].line.set(line);
-                last();
-                self.places[engine].line.set(Link::Normal);
+            Disruption::StoreCompacts => self.store.compact(),
+            Disruption::EngineLink(engine, link) => {
+                self.endpoints[engine].link.set(link);
+                wait();
+                self.endpoints[engine].link.set(Link::Normal);
             }
-            Trouble::EngineMood(engine, mood) => {
-                self.places[engine].engine.set_mode(mood);
-                last();
-                self.places[engine].engine.set_mode(EngineMode::Normal);
+            Disruption::EngineMode(engine, mode) => {
+                self.endpoints[engine].engine.set_mode(mode);
+                wait();
+                self.endpoints[engine].engine.set_mode(EngineMode::Normal);
             }
-            Trouble::EngineRestarts(engine) => {
-                let place = &self.places[engine];
-                place.engine.restart(None);
-                place.line.reset();
-                place.register(&self.store);
+            Disruption::EngineRestarts(engine) => {
+                let endpoint = &self.endpoints[engine];
+                endpoint.engine.restart(None);
+                endpoint.link.reset();
+                endpoint.register(&self.store);
             }
-            Trouble::EngineReplaced(engine) => {
-                let place = &self.places[engine];
-                let number = self.replaced.fetch_add(1, Ordering::SeqCst);
-                self.store.remove("servers", &place.key());
-                place.engine.restart(Some(&format!("engine-{engine}-{number}")));
-                place.line.reset();
-                place.register(&self.store);
+            Disruption::EngineReplaced(engine) => {
+                let endpoint = &self.endpoints[engine];
+                let number = self.replacements.fetch_add(1, Ordering::SeqCst);
+                self.store.remove("servers", &endpoint.key());
+                endpoint
+                    .engine
+                    .restart(Some(&format!("engine-{engine}-{number}")));
+                endpoint.link.reset();
+                endpoint.register(&self.store);
             }
-            Trouble::EntryLapses(engine) => {
-                let key = self.places[engine].key();
+            Disruption::EntryLapses(engine) => {
+                let key = self.endpoints[engine].key();
                 self.store.remove("servers", &key);
-                last();
-                if self.places[engine].key() == key {
-                    self.places[engine].register(&self.store);
+                wait();
+                if self.endpoints[engine].key() == key {
+                    self.endpoints[engine].register(&self.store);
                 }
             }
         }
     }
 
-    fn pause(&self, host: usize, length: Duration, busy: &[Mutex<()>]) {
-        let Ok(_busy) = busy[host].try_lock() else { return };
+    fn pause(&self, host: usize, duration: Duration, host_locks: &[Mutex<()>]) {
+        let Ok(_lock) = host_locks[host].try_lock() else {
+            return;
+        };
         self.hosts[host].signal(Signal::STOP);
-        std::thread::sleep(length);
+        std::thread::sleep(duration);
         self.hosts[host].signal(Signal::CONT);
     }
 
-    /// Waits until all is as it was declared last; what does not come about is a broken promise.
-    fn settle(&self) {
-        // A forged entry harms no other.
+    /// Waits until every host and engine is at the newest declarations; records a violation after the
+    /// timeout.
+    fn wait_for_recovery(&self) {
+        // An invalid entry must not affect other entries.
         self.store.put("servers", "forged", &json!({"service": 7}));
-        declare(&self.store, self.declared.load(Ordering::SeqCst) + 1);
-        self.declared.fetch_add(1, Ordering::SeqCst);
-        let give_up = Instant::now() + GIVE_UP;
-        let lacking = loop {
-            let lacking = self.lacking();
-            if lacking.is_none() || Instant::now() > give_up {
-                break lacking;
+        declare(&self.store, self.declared_version.load(Ordering::SeqCst) + 1);
+        self.declared_version.fetch_add(1, Ordering::SeqCst);
+        let deadline = Instant::now() + RECOVERY_TIMEOUT;
+        let unrecovered = loop {
+            let unrecovered = self.find_unrecovered();
+            if unrecovered.is_none() || Instant::now() > deadline {
+                break unrecovered;
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         };
-        self.broken.lock().unwrap().extend(lacking);
+        self.violations.lock().unwrap().extend(unrecovered);
     }
 
-    /// What is not yet as declared.
-    fn lacking(&self) -> Option<String> {
-        let newest = self.weights.load(Ordering::SeqCst);
-        for place in &self.places {
-            if place.engine.weights() != newest {
-                return Some(format!("{} lacks weights {newest}", place.key()));
+    /// Returns the first engine or host that is not at the newest declarations, if any.
+    fn find_unrecovered(&self) -> Option<String> {
+        let newest = self.weight_version.load(Ordering::SeqCst);
+        for endpoint in &self.endpoints {
+            if endpoint.engine.weights() != newest {
+                return Some(format!("{} has not loaded weights {newest}", endpoint.key()));
             }
         }
-        let version = self.declared.load(Ordering::SeqCst);
+        let version = self.declared_version.load(Ordering::SeqCst);
         for host in &self.hosts {
             let name = &host.file.name;
             if host.has_crashed() {
-                return Some(format!("{name} has ended by itself"));
+                return Some(format!("{name} has exited unexpectedly"));
             }
             if !host.is_ready() {
                 return Some(format!("{name} is not ready"));
@@ -321,11 +353,11 @@
                 })
             };
             let key = WORKSPACES[0].1;
-            let passing = status(&format!("{}x", versioned_path(version)), key);
+            let versioned = status(&format!("{}x", versioned_path(version)), key);
             let guest = status("/safe/x", &guest_key(version - 1));
-            if (passing, guest) != (200, 401) {
+            if (versioned, guest) != (200, 401) {
                 return Some(format!(
-                    "{name} answers {passing} on the newest path and {guest} to the last key of {GUEST}"
+                    "{name} answers {versioned} on the newest path and {guest} to the previous key of {GUEST}"
                 ));
             }
         }
