--- a/examples/first-steps/list.sh
+++ b/examples/first-steps/list.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Lists the targets of the first steps at the platform stand-in.
+# Adds the targets of the first steps to the host list of the platform stand-in.
 set -euo pipefail
 platform=${1:-127.0.0.1:8000}
 
