--- a/components/checker/src/record.rs
+++ b/components/checker/src/record.rs
@@ -98,7 +98,8 @@
     pub outcome: Option<Outcome>,
     /// Identifier that the host assigned to the request, in hexadecimal.
     pub request_id: String,
-    /// Version of the release notes that the host stated.
+    /// Version of the operator's release notes (the declared configuration) under which the host answered, as
+    /// the host stated it.
     pub note: Option<NoteVersion>,
     /// Whether the host ended the answer as intended, with a complete answer or a problem document.
     pub ended_well: bool,
@@ -110,7 +111,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct Received {
-    /// Tokens of a draft, in order.
+    /// Generated tokens of an answer, in order.
     pub tokens: Vec<String>,
     /// Body of a call's answer.
     pub body: String,
@@ -118,13 +119,13 @@
     pub whole: bool,
 }
 
-/// The leaving of a target.
+/// An announced removal of a target: the platform's list marked it as leaving.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Leave {
     /// The target.
     pub target: TargetId,
-    /// Time at which the platform's list first showed it.
+    /// Time at which the platform's list first showed the target as leaving.
     pub at: u64,
 }
 
--- a/components/entry/src/control/roster.rs
+++ b/components/entry/src/control/roster.rs
@@ -95,7 +95,8 @@
                 .await
             }
             Some(staged) if staged.note.is_none() => self.accept(head).await,
-            // A staged note has precedence; its operator completes it.
+            // A release note that a person staged comes before a roster change. This task leaves it to the
+            // person who staged it.
             Some(_) => Ok(()),
         }
     }
--- a/components/entry/src/control/state.rs
+++ b/components/entry/src/control/state.rs
@@ -54,13 +54,14 @@
     suspects: BTreeSet<TargetId>,
     /// The notes to enforce.
     enforced: EnforcedNotes,
-    /// Engines. An engine keeps its key while it is listed.
-    engines: PlacementView,
+    /// Targets, stores and the links between regions, as the base of placement decisions. A target keeps its
+    /// key while it is listed.
+    placement: PlacementView,
     /// Keys of the engines by target name.
     keys_by_id: BTreeMap<TargetId, CandidateKey>,
     /// Number of consecutive missed load reports by target.
     missed_reports: BTreeMap<TargetId, u32>,
-    /// Locations of kept cache pieces.
+    /// Which targets and stores hold which pieces of KV cache, and which pieces are being copied to stores.
     kept: KeptCache,
 }
 
@@ -72,7 +73,7 @@
             list: Vec::new(),
             suspects: BTreeSet::new(),
             enforced: EnforcedNotes::default(),
-            engines: PlacementView::default(),
+            placement: PlacementView::default(),
             keys_by_id: BTreeMap::new(),
             missed_reports: BTreeMap::new(),
             kept,
@@ -111,7 +112,7 @@
         };
         self.suspects = members.suspects;
         self.apply_list(members.list);
-        for candidate in self.engines.targets.values_mut() {
+        for candidate in self.placement.targets.values_mut() {
             if self.suspects.contains(&candidate.id) {
                 candidate.state = as_suspect(candidate.state);
             }
@@ -123,7 +124,7 @@
         let now = self.shared.clock.now();
         match observation {
             Observation::Sent { key, tokens } => {
-                if let Some(candidate) = self.engines.targets.get_mut(*key) {
+                if let Some(candidate) = self.placement.targets.get_mut(*key) {
                     candidate.sent_since_tokens += u64::from(*tokens);
                     candidate.open += 1;
                 }
@@ -140,20 +141,20 @@
                     weight_version: *weight_version,
                     pieces,
                 };
-                self.kept.record_prefill(&prompt, &self.engines, now);
+                self.kept.record_prefill(&prompt, &self.placement, now);
             }
-            Observation::FetchStarted { store } => self.kept.record_fetch_start(*store, &self.engines, now),
+            Observation::FetchStarted { store } => self.kept.record_fetch_start(*store, &self.placement, now),
             Observation::FetchEnded { store, is_complete } => {
                 self.kept
-                    .record_fetch_end(*store, *is_complete, &self.engines, now);
+                    .record_fetch_end(*store, *is_complete, &self.placement, now);
             }
             Observation::Ended { key } => {
-                if let Some(candidate) = self.engines.targets.get_mut(*key) {
+                if let Some(candidate) = self.placement.targets.get_mut(*key) {
                     candidate.open = candidate.open.saturating_sub(1);
                 }
             }
             Observation::Failed { key, failure } => {
-                if let Some(candidate) = self.engines.targets.get_mut(*key)
+                if let Some(candidate) = self.placement.targets.get_mut(*key)
                     && *failure == TargetError::NotSent
                 {
                     candidate.state = as_suspect(candidate.state);
@@ -172,7 +173,7 @@
         let removed: Vec<_> = self.keys_by_id.keys().filter(|id| !listed(id)).cloned().collect();
         for id in removed {
             if let Some(key) = self.keys_by_id.remove(&id) {
-                self.engines.targets.remove(key);
+                self.placement.targets.remove(key);
                 self.kept.remove_target(key);
             }
         }
@@ -180,7 +181,7 @@
             self.apply_engine(host);
         }
         let stores = list.iter().filter(|h| h.role == HostRole::Store);
-        self.kept.apply_stores(stores, &mut self.engines);
+        self.kept.apply_stores(stores, &mut self.placement);
         let live = list.iter().filter(|h| h.role == HostRole::Entry);
         let live = live.map(|h| h.id.clone()).collect();
         self.shared.live_hosts.store(Arc::new(live));
@@ -190,7 +191,7 @@
     fn apply_cache_update(&mut self, id: &TargetId, update: CacheUpdate) {
         match self.keys_by_id.get(id) {
             Some(key) => self.kept.apply_target_update(*key, &update),
-            None => self.kept.apply_store_update(id, update, &mut self.engines),
+            None => self.kept.apply_store_update(id, update, &mut self.placement),
         }
     }
 
@@ -202,14 +203,14 @@
         let existing = self
             .keys_by_id
             .get(&host.id)
-            .and_then(|key| self.engines.targets.get_mut(*key));
+            .and_then(|key| self.placement.targets.get_mut(*key));
         match existing {
             Some(candidate) => {
                 candidate.address = host.address;
                 candidate.state = state;
             }
             None => {
-                let key = self.engines.targets.insert(new_candidate(host, state));
+                let key = self.placement.targets.insert(new_candidate(host, state));
                 self.keys_by_id.insert(host.id.clone(), key);
             }
         }
@@ -230,7 +231,7 @@
         let Some(candidate) = self
             .keys_by_id
             .get(id)
-            .and_then(|key| self.engines.targets.get_mut(*key))
+            .and_then(|key| self.placement.targets.get_mut(*key))
         else {
             return;
         };
@@ -258,13 +259,13 @@
     /// Publishes a view of the current state.
     pub(crate) fn publish(&mut self) {
         let now = self.shared.clock.now();
-        self.kept.publish(&self.shared.cache, &mut self.engines, now);
+        self.kept.publish(&self.shared.cache, &mut self.placement, now);
         let services = self.list.iter().filter(|h| h.role == HostRole::Service);
         let entry_hosts = self.list.iter().filter(|h| h.role == HostRole::Entry).count();
         let view = View {
             declared: self.enforced.declared().clone(),
             enforced: self.enforced.clone(),
-            placement: self.engines.clone(),
+            placement: self.placement.clone(),
             services: services.map(service_target).collect(),
             entry_hosts: u32::try_from(entry_hosts).unwrap_or(u32::MAX),
         };
--- a/components/entry/src/control/watch.rs
+++ b/components/entry/src/control/watch.rs
@@ -116,13 +116,14 @@
 /// Polls the changes of a store. Reads them from the start after a restart.
 async fn poll_store(id: TargetId, store: HttpStore, tx: Inputs) {
     let mut position: Option<(Incarnation, u64)> = None;
-    let mut is_size_known = false;
+    let mut is_piece_size_known = false;
     loop {
         let from = position.map_or(0, |(_, next)| next);
+        // The answer lists the changes since change number `from`; 0 requests the whole content.
         if let Ok(catalogue) = store.catalogue(from).await {
             let is_continuous = position.is_none_or(|(run, _)| run == catalogue.incarnation);
             position = is_continuous.then_some((catalogue.incarnation, catalogue.next));
-            let sample = catalogue.stored.first().copied().filter(|_| !is_size_known);
+            let sample = catalogue.stored.first().copied().filter(|_| !is_piece_size_known);
             if tx
                 .send(Input::Cache(id.clone(), CacheUpdate::Catalogue(from, catalogue)))
                 .await
@@ -133,7 +134,7 @@
             if let Some(piece) = sample
                 && let Ok(Some(manifest)) = store.manifest(piece).await
             {
-                is_size_known = true;
+                is_piece_size_known = true;
                 let _ = tx
                     .send(Input::Cache(id.clone(), CacheUpdate::PieceBytes(manifest.bytes)))
                     .await;
--- a/components/entry/src/shared.rs
+++ b/components/entry/src/shared.rs
@@ -33,9 +33,10 @@
     pub metrics: Metrics,
     /// View last published by the control thread.
     pub view: ViewCell,
-    /// Decides whether new requests may be accepted under a view.
+    /// Holds the time until which the host may accept new requests, and the oldest change that a view must
+    /// contain.
     pub gate: NoteGate,
-    /// Cached locations of the pieces of prompts.
+    /// Targets and stores that hold each piece of KV cache, as last published by the control thread.
     pub cache: Arc<CacheCell>,
     /// Chooses the target of a prompt.
     pub placer: Arc<dyn Placer>,
--- a/components/entry/src/traffic/relay.rs
+++ b/components/entry/src/traffic/relay.rs
@@ -26,11 +26,11 @@
 
 /// Relays the events of a draft to its caller and resumes it when the connection or the target fails.
 pub(crate) struct Relay {
-    /// The draft.
+    /// The generation request that is served.
     draft: Draft,
-    /// Placement of the draft.
+    /// Target that was chosen for the request.
     chosen: Chosen,
-    /// Events of the draft.
+    /// Events of the answer from the target.
     stream: Box<dyn DraftStream>,
     /// First event of `stream`, until it is relayed.
     first: Option<DraftEvent>,
@@ -38,11 +38,12 @@
     version: WeightVersion,
     /// Writes the JSON objects of the answer.
     writer: Writer,
-    /// Text that this host has sent so far, needed to continue at another target.
+    /// Text received from targets so far, needed to continue at another target. It is already sent if the
+    /// answer is streamed; otherwise it is sent as a whole at the end.
     text: String,
     /// Whether `text` contains the answer from its beginning.
     has_full_text: bool,
-    /// Number of tokens that the caller has.
+    /// Number of tokens of the answer so far, with those that the caller had before it resumed.
     offset: u32,
     /// Number of resumes since the last token.
     resumes: u32,
--- a/components/gateway/src/budget.rs
+++ b/components/gateway/src/budget.rs
@@ -37,7 +37,7 @@
 }
 
 impl RetryBudget {
-    /// Creates a budget without any use.
+    /// Creates a budget with no requests and no retries counted yet.
     ///
     /// ```
     /// use std::time::Duration;
@@ -62,7 +62,8 @@
         self.current_bucket(now).requests += 1;
     }
 
-    /// Takes a retry and returns true, if this host's share of `hosts` allows one more.
+    /// Takes a retry and returns true if this host's share of the budget allows another retry. The slack is
+    /// divided among `hosts` hosts.
     pub fn try_take(&mut self, hosts: usize, now: Monotonic) -> bool {
         self.current_bucket(now);
         let requests: u32 = self.buckets.iter().map(|b| b.requests).sum();
--- a/components/gateway/src/control/register.rs
+++ b/components/gateway/src/control/register.rs
@@ -145,7 +145,8 @@
     connect.or(late).await
 }
 
-/// Removes expired crashes from the shared table. Each crash is removed by its owner among the hosts.
+/// Removes expired crash records from the shared table. Each record is removed by the host that rendezvous
+/// hashing of its key assigns.
 pub(crate) async fn remove_expired_crashes(control: Arc<Control>) {
     loop {
         smol::Timer::after(CRASH_CLEANUP_INTERVAL).await;
--- a/components/gateway/src/freshness.rs
+++ b/components/gateway/src/freshness.rs
@@ -22,8 +22,9 @@
 }
 
 /// Returns how an engine with weights `version` may be used. Requests must not start on replaced weights
-/// later than `deadline` after the declaration of newer ones. `is_rollout_started` says whether any engine
-/// has loaded newer weights.
+/// later than `deadline` after the declaration of newer ones. Sends stop earlier, at `SEND_CUTOFF_RATIO` of
+/// the deadline, because a request may wait in the engine's queue before it starts. `is_rollout_started` says
+/// whether any engine has loaded newer weights.
 ///
 /// ```
 /// use std::time::Duration;
@@ -43,12 +44,13 @@
     is_rollout_started: bool,
     now: Monotonic,
 ) -> OldWeightsPolicy {
+    // The outer `None`: no newer version is declared.
     let Some(replaced_at) = history.replaced_at(version) else {
         return OldWeightsPolicy::Allowed;
     };
     let Some(replaced_at) = replaced_at else {
-        // The newer version was declared before this host started. If an engine has already loaded it, the
-        // declaration dates back some time.
+        // The inner `None`: the newer version was declared at an unknown time before this host started. If an
+        // engine has already loaded it, the declaration dates back some time.
         return if is_rollout_started {
             OldWeightsPolicy::Forbidden
         } else {
--- a/components/gateway/src/load.rs
+++ b/components/gateway/src/load.rs
@@ -184,18 +184,18 @@
         (self.waiting * self.report_weight(now)).max(overdue as f64)
     }
 
-    /// Returns the estimated memory in use, in tokens. `memory_per_request` is the memory assumed for a
-    /// request of another host.
+    /// Returns the estimated KV-cache memory in use at the engine, in tokens. `memory_per_request` is the
+    /// memory assumed for a request of another host.
     pub fn memory(&self, memory_per_request: f64, expected_others: f64, now: Monotonic) -> f64 {
-        let counted = self.other_requests(expected_others, now) * memory_per_request;
-        let others = self.other_memory.map_or(counted, |(memory, at)| {
+        let estimated_from_requests = self.other_requests(expected_others, now) * memory_per_request;
+        let others = self.other_memory.map_or(estimated_from_requests, |(memory, at)| {
             let weight = report_weight_at(at, now);
-            memory * weight + counted * (1.0 - weight)
+            memory * weight + estimated_from_requests * (1.0 - weight)
         });
         self.own_memory as f64 + others
     }
 
-    /// Returns the memory that this host's requests hold, in tokens.
+    /// Returns the KV-cache memory that this host's requests hold at the engine, in tokens.
     pub fn own_memory(&self) -> u64 {
         self.own_memory
     }
--- a/components/gateway/src/telemetry.rs
+++ b/components/gateway/src/telemetry.rs
@@ -33,13 +33,13 @@
     store_age: Gauge<f64>,
     /// Requests in flight.
     in_flight: Gauge<u64>,
-    /// Version of the declarations in force.
+    /// Version of the operator's declarations (routes, services, workspaces, limits) in force.
     declared: Gauge<u64>,
     /// Targets that may be used.
     targets: Gauge<u64>,
     /// Entry hosts in the view.
     hosts: Gauge<u64>,
-    /// 1 while this host may give orders to engines.
+    /// 1 while this host holds the lease to order engines to load weights.
     lease: Gauge<u64>,
 }
 
@@ -50,7 +50,8 @@
     pub store_age: Duration,
     /// Requests in flight.
     pub in_flight: usize,
-    /// Version of the declarations in force; 0 before the first.
+    /// Version of the operator's declarations (routes, services, workspaces, limits) in force; 0 before the
+    /// first.
     pub declared: u64,
     /// Targets that may be used.
     pub targets: usize,
@@ -136,7 +137,7 @@
         self.store_calls.add(1, &[KeyValue::new("result", result)]);
     }
 
-    /// Records whether this host holds the lease to give orders to engines.
+    /// Records whether this host holds the lease to order engines to load weights.
     pub(crate) fn lease(&self, is_held: bool) {
         self.lease.record(u64::from(is_held), &[]);
     }
--- a/components/ledger/src/handle.rs
+++ b/components/ledger/src/handle.rs
@@ -27,7 +27,7 @@
     pub body: Digest,
 }
 
-/// Result of [`LedgerHandle::begin`].
+/// Result of [`LedgerHandle::begin`], before anything is sent: what the caller of `begin` has to do next.
 #[must_use]
 pub enum BeginResult {
     /// The call is claimed and may be sent.
@@ -38,7 +38,7 @@
     Decided(Verdict),
 }
 
-/// How a call that was sent ended.
+/// What the entry host observed of a call that it tried to send; the input of [`SentCall::end`].
 #[must_use]
 pub enum CallEnd {
     /// The target's whole answer was received.
@@ -49,7 +49,7 @@
     Lost,
 }
 
-/// Result of [`SentCall::end`].
+/// Result of [`SentCall::end`]: the verdict, or a query to the target that is needed to reach it.
 #[must_use]
 pub enum EndResult {
     /// The attempt ended with a verdict for the caller.
--- a/components/ledger/src/job.rs
+++ b/components/ledger/src/job.rs
@@ -2,14 +2,15 @@
 
 use crate::{ClaimRow, ClaimState, RowWrite, StoredClaim, WriteResult};
 
-/// Background write that is retried until it has taken effect or a newer row makes it obsolete.
+/// Background write of a claim's row that marks the claim as abandoned or records the result of its call,
+/// also an unknown one. It is retried until it has taken effect or a newer row makes it obsolete.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Job {
     /// The next write to send.
     write: RowWrite,
 }
 
-/// Next step of a job after a write result.
+/// Whether the background write of a [`Job`] is finished or has to be sent again, after a write result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum JobStep {
     /// The job is finished.
--- a/components/ledger/src/verdict.rs
+++ b/components/ledger/src/verdict.rs
@@ -2,7 +2,11 @@
 
 use crate::RecordedReply;
 
-/// Result of an attempt, as reported to the caller.
+/// Final result of an attempt, as reported to the caller: the recorded answer or a problem.
+///
+/// [`BeginResult`](crate::BeginResult) and [`EndResult`](crate::EndResult) contain it once an attempt is
+/// decided. [`CallEnd`](crate::CallEnd) is the input from which it is derived after a send. [`Outcome`] only
+/// states whether the call ran; see [`Verdict::outcome`].
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Verdict {
     /// The call ran; holds the recorded answer.
--- a/components/ledger/src/writer.rs
+++ b/components/ledger/src/writer.rs
@@ -89,8 +89,9 @@
         let _ = self.wake_probes.try_send(());
     }
 
-    /// Waits for an answer of the table service, at most for the configured timeout.
-    pub(crate) async fn with_store_timeout<T>(
+    /// Waits for an answer of the table service, at most for
+    /// [`store_timeout`](LedgerSettings::store_timeout).
+    pub(crate) async fn with_table_timeout<T>(
         &self,
         call: BoxFuture<'_, PlatformResult<T>>,
     ) -> PlatformResult<T> {
@@ -307,7 +308,7 @@
             stats.rows.fetch_add(batch.len() as u64, Ordering::Relaxed);
             let answer = self
                 .shared
-                .with_store_timeout(self.shared.table.transact(batch.transaction()))
+                .with_table_timeout(self.shared.table.transact(batch.transaction()))
                 .await;
             let (results, rest) = batch.handle_answer(answer, &*self.shared.is_alive);
             for (tag, result) in results {
@@ -357,7 +358,7 @@
     let mut breaker = Breaker::new(shared.settings.probe_interval);
     loop {
         if shared
-            .with_store_timeout(shared.table.read(vec![PROBE_ROW.to_owned()]))
+            .with_table_timeout(shared.table.read(vec![PROBE_ROW.to_owned()]))
             .await
             .is_ok()
         {
--- a/components/ledger/tests/batch.rs
+++ b/components/ledger/tests/batch.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_refused_write_does_not_refuse_the_others() {
+fn writes_that_share_a_transaction_with_a_refused_one_are_sent_again() {
     let table = MemoryTable::default();
     let mut batcher = Batcher::default();
     batcher.push(insert("b", 1), 1);
--- a/components/notes/src/between.rs
+++ b/components/notes/src/between.rs
@@ -7,7 +7,8 @@
 use crate::{Declared, Note, NoteId};
 
 impl Note {
-    /// Returns the note that turns the entries of `base` into those of `wanted`.
+    /// Returns the note that turns the entries of `base` into those of `wanted`. A note is a set of
+    /// additions, changes and withdrawals to the declared state.
     ///
     /// ```
     /// use notes::{Declared, Note, Workspace};
@@ -26,26 +27,26 @@
         };
         let (add, change, withdraw) = (&mut note.add, &mut note.change, &mut note.withdraw);
         let (a, b) = (base, wanted);
-        withdraw.workspaces = split(
+        withdraw.workspaces = diff_entries(
             &a.workspaces,
             &b.workspaces,
             &mut add.workspaces,
             &mut change.workspaces,
         );
-        withdraw.deployments = split(
+        withdraw.deployments = diff_entries(
             &a.deployments,
             &b.deployments,
             &mut add.deployments,
             &mut change.deployments,
         );
-        withdraw.services = split(&a.services, &b.services, &mut add.services, &mut change.services);
-        withdraw.rules = split(&a.rules, &b.rules, &mut add.rules, &mut change.rules);
+        withdraw.services = diff_entries(&a.services, &b.services, &mut add.services, &mut change.services);
+        withdraw.rules = diff_entries(&a.rules, &b.rules, &mut add.rules, &mut change.rules);
         note
     }
 }
 
 /// Puts the entries that differ into `added` and `changed`, and returns the names of the withdrawn ones.
-fn split<V: Clone + PartialEq>(
+fn diff_entries<V: Clone + PartialEq>(
     before: &OrdMap<Arc<str>, V>,
     after: &OrdMap<Arc<str>, V>,
     added: &mut BTreeMap<Arc<str>, V>,
