--- a/components/bench/src/sim.rs
+++ b/components/bench/src/sim.rs
@@ -642,10 +642,10 @@
         }
         for region in 0..2 {
             let load = |n: usize| {
-                let queue = self.world.engines[n].wait(self.now);
+                let wait_seconds = self.world.engines[n].wait(self.now);
                 self.world
                     .is_reachable(region, n)
-                    .then_some((queue * PREFILL_TOKENS_PER_SECOND) as u64)
+                    .then_some((wait_seconds * PREFILL_TOKENS_PER_SECOND) as u64)
             };
             self.sampled_loads[region] = (0..self.world.engines.len()).map(load).collect();
         }
@@ -661,10 +661,12 @@
         match self.fault {
             Fault::TargetCrash => self.set_crashed(0, starts),
             Fault::StoreDeath => self.set_store_down(0, starts),
+            // The capacity of the store drops to a quarter.
             Fault::FullStore => {
                 let capacity = self.world.sizes.store_pieces[0];
                 self.world.stores[0].capacity = if starts { capacity / 4 } else { capacity };
             }
+            // The reads from the store and the paid link, in both directions, slow down to a tenth.
             Fault::SlowLink => {
                 let share = if starts { 0.1 } else { 1.0 };
                 self.world.stores[0].reads.rate = rate * share;
--- a/components/config/src/fields.rs
+++ b/components/config/src/fields.rs
@@ -193,7 +193,7 @@
         "hex",
         "required",
         Allowed::HexDigits,
-        "Key that seals resume tokens; the same on all hosts.",
+        "Key that signs resume tokens; the same on all hosts.",
     ),
     field(
         "secrets.pieces",
--- a/components/config/src/settings.rs
+++ b/components/config/src/settings.rs
@@ -115,7 +115,7 @@
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SecretSettings {
-    /// Key that seals resume tokens.
+    /// Key that signs resume tokens.
     pub resume: utils::Digest,
     /// Key that the names of cache pieces and the fingerprints of requests are derived from.
     pub pieces: utils::Digest,
--- a/components/directory/tests/feeds.rs
+++ b/components/directory/tests/feeds.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn missed_eviction_is_corrected_by_use() {
+fn pieces_that_a_run_found_uncached_are_removed_after_a_missed_eviction() {
     let (mut directory, target) = (Directory::default(), target_key());
     let pieces = [piece(0), piece(1), piece(2)];
     let _ = directory.apply_events(target, &events(1, 0, &pieces.map(CacheEvent::Stored)));
--- a/components/errors/src/event.rs
+++ b/components/errors/src/event.rs
@@ -134,7 +134,7 @@
     pub const NOTE_STAGED: Event = event(
         3001,
         "note_staged",
-        "The host holds a staged release note and applies it too.",
+        "The host holds a staged release note and enforces it too.",
     );
     pub const NOTE_IN_FORCE: Event = event(
         3002,
@@ -272,7 +272,7 @@
     pub const KEPT_CACHE_DROPPED: Event = event(
         5015,
         "kept_dropped",
-        "A cache store was ordered to drop parts of replaced weights.",
+        "A store of kept cache was ordered to drop parts of replaced weights.",
     );
     pub const HOST_UNREACHABLE: Event = event(
         5016,
@@ -282,12 +282,12 @@
     pub const KEPT_STORE_AVAILABLE: Event = event(
         5017,
         "kept_heard",
-        "A cache store answers, or answers again; gives its run and failure domain.",
+        "A store of kept cache answers, or answers again; gives its run and failure domain.",
     );
     pub const KEPT_STORE_UNAVAILABLE: Event = event(
         5018,
         "kept_lost",
-        "A cache store does not answer; nothing is fetched from it or saved to it.",
+        "A store of kept cache does not answer; nothing is fetched from it or saved to it.",
     );
     pub const LEASE_TAKEN: Event = event(
         5020,
--- a/components/membership/src/hosts.rs
+++ b/components/membership/src/hosts.rs
@@ -125,8 +125,8 @@
         *id == self.own.id || self.tags.contains_key(&HostTag::of(id))
     }
 
-    /// Returns the regions in which too large a share of the hosts is unusable at once, so that their silence
-    /// is distrusted.
+    /// Returns the regions in which too large a share of the hosts is unusable at once. This is more likely a
+    /// fault of this host's network than of the hosts.
     fn distrusted_regions(&self, now: Monotonic) -> BTreeSet<RegionId> {
         let mut counts: BTreeMap<RegionId, (usize, usize)> = BTreeMap::new();
         for peer in self.peers.values() {
--- a/components/membership/src/target.rs
+++ b/components/membership/src/target.rs
@@ -186,15 +186,15 @@
         ))
     }
 
-    /// Returns the silent targets whose silence is distrusted because too large a share of one of their pools
-    /// is silent at once.
+    /// Returns the suspect targets in pools of which too large a share is suspect at once. This is more
+    /// likely a fault of this host's network than of the targets, so they count as live.
     fn distrusted_silence(&self, now: Monotonic) -> BTreeSet<TargetId> {
         let mut counts: BTreeMap<Pool, (usize, Vec<TargetId>)> = BTreeMap::new();
         for (id, target) in &self.by_id {
             for pool in pools(&target.listed) {
                 let (known, silent) = counts.entry(pool).or_default();
                 *known += 1;
-                if target.silence(now).is_some() {
+                if target.suspect_reason(now).is_some() {
                     silent.push(id.clone());
                 }
             }
@@ -294,7 +294,9 @@
         self.damping.is_usable(now) && !self.damping.is_usable(previous_input)
     }
 
-    fn silence(&self, now: Monotonic) -> Option<LivenessReason> {
+    /// Returns why the target is suspect, if it is: it repeatedly failed to answer, it answers again but its
+    /// hold time has not passed, or a watcher reports that it failed to answer.
+    fn suspect_reason(&self, now: Monotonic) -> Option<LivenessReason> {
         if !self.damping.is_usable(now) {
             let failing = self.failures >= FAILURES_TO_SUSPECT;
             return Some(if failing {
@@ -309,6 +311,7 @@
         }
     }
 
+    /// Returns the entry of the target; see [`Self::state`] for `silence_distrusted`.
     fn entry(&self, silence_distrusted: bool, now: Monotonic) -> TargetEntry {
         let (liveness, reason) = self.state(silence_distrusted, now);
         TargetEntry {
@@ -319,6 +322,10 @@
         }
     }
 
+    /// Returns the state of the target and its reason. `silence_distrusted` means that too many
+    /// targets of its pool are suspect at once: the failures are then attributed to this host's network, and
+    /// a suspect target counts as live. A target that left the list together with too many others of its pool also
+    /// counts as live, because this is attributed to a fault of the list.
     fn state(&self, silence_distrusted: bool, now: Monotonic) -> (TargetLiveness, LivenessReason) {
         if self.listed.state == HostState::Leaving {
             return (TargetLiveness::Leaving, LivenessReason::Listed);
@@ -326,7 +333,7 @@
         if self.is_leaving(now) {
             return (TargetLiveness::Leaving, LivenessReason::LeavingReported);
         }
-        match self.silence(now) {
+        match self.suspect_reason(now) {
             Some(_) if silence_distrusted => (TargetLiveness::Live, LivenessReason::SilenceDistrusted),
             Some(reason) => (TargetLiveness::Suspect, reason),
             None if self.unlisted => (TargetLiveness::Live, LivenessReason::ListDistrusted),
--- a/components/membership/src/view.rs
+++ b/components/membership/src/view.rs
@@ -22,8 +22,8 @@
 pub enum LivenessReason {
     /// The platform's list gives this state.
     Listed,
-    /// The list no longer contains it, but dropped too large a share of its pool at once; the removal is
-    /// distrusted.
+    /// The list no longer contains it, but dropped too large a share of its pool at once. This is more likely
+    /// a fault of the list than a real loss, so it is kept.
     ListDistrusted,
     /// It is not on the list but answers this host.
     Answers,
@@ -31,7 +31,8 @@
     Silent,
     /// A watcher reports that it failed to answer.
     SilentToWatchers,
-    /// It does not answer, but neither does a large share of its pool; the silence is distrusted.
+    /// It does not answer, but neither does a large share of its pool (of its region, for a host). This is
+    /// more likely a fault of this host's network than a real loss, so it counts as live.
     SilenceDistrusted,
     /// It answers again after recent failures, but its hold time has not passed.
     Flapping,
--- a/components/policy/src/admission.rs
+++ b/components/policy/src/admission.rs
@@ -79,8 +79,9 @@
     waiting: SlotMap<QueueKey, QueuedRequest>,
     /// Queues by workspace.
     queues: BTreeMap<WorkspaceId, WorkspaceQueue>,
-    /// Service that the workspace served last had received before its request was charged.
-    served: f64,
+    /// Virtual time of fair queueing: service that the workspace served last had received before its request
+    /// was charged.
+    virtual_time: f64,
     /// Maximum number of queued requests.
     capacity: usize,
 }
@@ -109,7 +110,7 @@
         Self {
             waiting: SlotMap::with_key(),
             queues: BTreeMap::new(),
-            served: 0.0,
+            virtual_time: 0.0,
             capacity,
         }
     }
@@ -141,8 +142,9 @@
         let key = self.waiting.insert(req);
         let queue = self.queues.entry(workspace).or_default();
         if queue.order.is_empty() {
-            // Idle time earns no credit: the workspace starts at the current service level.
-            queue.served = queue.served.max(self.served);
+            // Idle time earns no credit: the workspace starts at the current virtual time, or later if it has
+            // already received more service.
+            queue.served = queue.served.max(self.virtual_time);
         }
         queue.order.insert((priority, due, key));
         Ok(Pushed { key, shed })
@@ -186,18 +188,21 @@
 
     fn charge(&mut self, req: &QueuedRequest) {
         if let Some(queue) = self.queues.get_mut(&req.workspace) {
-            self.served = queue.served;
+            self.virtual_time = queue.served;
             queue.served += req.cost / req.weight.max(f64::MIN_POSITIVE);
         }
-        // An empty queue is kept only while its workspace has received more service than the one served last;
-        // any other starts again at the current level.
-        let served = self.served;
+        // An empty queue is dropped once its workspace is not ahead of the current virtual time. If the
+        // workspace returns, it starts at the virtual time of its return.
+        let virtual_time = self.virtual_time;
         self.queues
-            .retain(|_, queue| !queue.order.is_empty() || queue.served > served);
+            .retain(|_, queue| !queue.order.is_empty() || queue.served > virtual_time);
     }
 
-    /// Removes the last request of the queue that ranks last, by the priority of its last request and then by
-    /// its length, if it ranks after `req`.
+    /// Removes a request of lower rank to make room for `req`, and returns it. The victim is the last request
+    /// of the workspace whose last request has the lowest priority; among workspaces with the same lowest
+    /// priority, of the one with the most queued requests. Returns `None` if the victim has a higher priority
+    /// than `req`, or the same priority while its workspace would not have more queued requests than the
+    /// workspace of `req`, with `req` included.
     fn shed_for(&mut self, req: &QueuedRequest) -> Option<(QueueKey, QueuedRequest)> {
         let rank = |queue: &WorkspaceQueue| {
             queue
--- a/components/policy/src/placement_cost.rs
+++ b/components/policy/src/placement_cost.rs
@@ -86,13 +86,19 @@
         copy: TargetCopy,
         now: Monotonic,
     ) -> (CostTerms, FetchPlan) {
-        let queue = queue_seconds(candidate, now);
-        let mut best = self.cost(candidate, copy, copy.confirmed, queue, (None, None));
+        let wait_seconds = queue_seconds(candidate, now);
+        let mut best = self.cost(candidate, copy, copy.confirmed, wait_seconds, (None, None));
         if copy.likely > copy.confirmed {
-            best = cheaper(best, self.cost(candidate, copy, copy.likely, queue, (None, None)));
+            best = cheaper(
+                best,
+                self.cost(candidate, copy, copy.likely, wait_seconds, (None, None)),
+            );
         }
         for first in [copy.confirmed, copy.likely] {
-            best = cheaper(best, self.with_fetches(candidate, copy, first, queue, best));
+            best = cheaper(
+                best,
+                self.with_fetches(candidate, copy, first, wait_seconds, best),
+            );
             if copy.likely == copy.confirmed {
                 break;
             }
@@ -106,19 +112,25 @@
         candidate: &Candidate,
         copy: TargetCopy,
         first: u16,
-        queue: f64,
+        wait_seconds: f64,
         mut best: (CostTerms, FetchPlan),
     ) -> (CostTerms, FetchPlan) {
         let near = self.longest_run(candidate, first, true);
         if let Some(near) = near {
-            for near in [near.truncated(near.arriving_within(queue)), near] {
-                best = cheaper(best, self.cost(candidate, copy, first, queue, (Some(near), None)));
+            for near in [near.truncated(near.arriving_within(wait_seconds)), near] {
+                best = cheaper(
+                    best,
+                    self.cost(candidate, copy, first, wait_seconds, (Some(near), None)),
+                );
             }
         }
         let after = first + near.map_or(0, |n| n.pieces);
         if let Some(far) = self.longest_run(candidate, after, false) {
-            for far in [far.truncated(far.arriving_within(queue)), far] {
-                best = cheaper(best, self.cost(candidate, copy, first, queue, (near, Some(far))));
+            for far in [far.truncated(far.arriving_within(wait_seconds)), far] {
+                best = cheaper(
+                    best,
+                    self.cost(candidate, copy, first, wait_seconds, (near, Some(far))),
+                );
             }
         }
         best
@@ -133,7 +145,7 @@
             if pieces == 0 || (store.region == candidate.region) != is_near {
                 return None;
             }
-            let run = self.near_run(copy.store, store, pieces);
+            let run = self.store_run(copy.store, store, pieces);
             if is_near {
                 Some(run)
             } else {
@@ -143,7 +155,8 @@
         runs.max_by_key(|run| run.pieces)
     }
 
-    fn near_run(&self, key: StoreKey, store: &StoreView, pieces: u16) -> PieceRun {
+    /// Returns the run of `pieces` pieces at a store, with the backlog and rate of the store.
+    fn store_run(&self, key: StoreKey, store: &StoreView, pieces: u16) -> PieceRun {
         let rate = store.bytes_per_second.max(1.0);
         PieceRun {
             store: key,
@@ -177,7 +190,7 @@
         candidate: &Candidate,
         copy: TargetCopy,
         first: u16,
-        queue: f64,
+        wait_seconds: f64,
         (near, far): (Option<PieceRun>, Option<PieceRun>),
     ) -> (CostTerms, FetchPlan) {
         let near = near.filter(|run| run.pieces > 0);
@@ -211,13 +224,13 @@
             far: far.map(|run| (run.store, run.pieces)),
         };
         let link_bytes = self.link_bytes(candidate, plan.far);
-        let first_token = queue.max(fetch_seconds) + prefill_seconds;
+        let first_token = wait_seconds.max(fetch_seconds) + prefill_seconds;
         let later_bytes = self.later_link_bytes(candidate, covered);
         let total = first_token * self.req.first_token_weight
             + recomputed / 1_000.0 * self.req.recomputed_weight
             + (link_bytes as f64 + later_bytes) / MEGABYTE * self.req.link_weight;
         let terms = CostTerms {
-            queue_seconds: queue,
+            queue_seconds: wait_seconds,
             fetch_seconds,
             prefill_seconds,
             resident_tokens: u32::from(first.min(copy.confirmed)) * PIECE_TOKENS,
@@ -285,9 +298,9 @@
         self.delay + f64::from(self.pieces) * self.piece_seconds
     }
 
-    /// Returns the number of pieces that arrive during the wait in the queue, given in seconds.
-    fn arriving_within(&self, queue: f64) -> u16 {
-        let pieces = ((queue - self.delay) / self.piece_seconds.max(1e-9)).max(0.0);
+    /// Returns the number of pieces that arrive during the wait in the queue.
+    fn arriving_within(&self, wait_seconds: f64) -> u16 {
+        let pieces = ((wait_seconds - self.delay) / self.piece_seconds.max(1e-9)).max(0.0);
         (pieces as u16).min(self.pieces)
     }
 }
--- a/components/policy/tests/links.rs
+++ b/components/policy/tests/links.rs
@@ -65,9 +65,11 @@
         for (host, wait, bytes) in asks {
             now += ms(wait);
             if host == lost {
-                // The replacement of the lost host starts with zero bytes; some peers have not yet seen it.
+                // The replacement of the lost host starts with zero bytes.
                 hosts[host] = VolumeBudget::new(rate, burst, 9, now);
             }
+            // Another host has seen the loss but not yet the replacement, and counts 8 hosts. Its clock stops
+            // at 59 s, below the 60 s after which a lower number of hosts takes effect.
             hosts[(host + 1) % 9].set_hosts(8, now.min(Duration::from_secs(59)));
             sent += if hosts[host].take(bytes, now) { bytes } else { 0 };
             prop_assert!(sent as f64 <= rate * now.as_secs_f64() + 1.0);
--- a/components/standins/src/answer.rs
+++ b/components/standins/src/answer.rs
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Returns the wrong answer that a corrupt cache block or a wrong continuation leads to.
+    /// Returns the wrong answer that a corrupt cached piece or a wrong continuation leads to.
     pub(crate) fn corrupted(self) -> Self {
         Self {
             seed: *blake3::hash(&self.seed).as_bytes(),
--- a/components/standins/src/engine/batch.rs
+++ b/components/standins/src/engine/batch.rs
@@ -4,7 +4,7 @@
 use targets::{DraftRequest, PIECE_TOKENS};
 use utils::{Monotonic, RequestId};
 
-use super::cache::{Block, Cache};
+use super::cache::{Cache, CachedPiece};
 use super::config::EngineConfig;
 use super::record::{DraftRun, EngineRecord, PieceUse};
 use crate::answer::Answer;
@@ -60,7 +60,7 @@
     /// Channels of the streams that wait for the schedule.
     schedule_txs: Vec<ScheduleSender>,
     /// Number of leading pieces that are pinned in the cache for the draft.
-    pinned_blocks: usize,
+    pinned_pieces: usize,
     /// When the request was received, in microseconds since the Unix epoch.
     at_micros: u64,
 }
@@ -150,7 +150,7 @@
             phase: Phase::Waiting,
             schedule: None,
             schedule_txs: vec![schedule_tx],
-            pinned_blocks: 0,
+            pinned_pieces: 0,
             at_micros: unix_micros(),
         });
         self.waiting.insert((priority, self.next_arrival), key);
@@ -255,9 +255,9 @@
             return false;
         };
         let draft = &mut self.drafts[key];
-        let blocks = cache.cached_prefix(&draft.req.pieces);
-        draft.pin_blocks(&blocks, cache, &mut record.uses);
-        let cached_tokens = (blocks.len() as u32 * PIECE_TOKENS).min(draft.req.prompt_tokens);
+        let cached_pieces = cache.cached_prefix(&draft.req.pieces);
+        draft.pin_pieces(&cached_pieces, cache, &mut record.uses);
+        let cached_tokens = (cached_pieces.len() as u32 * PIECE_TOKENS).min(draft.req.prompt_tokens);
         let uncached = draft.req.prompt_tokens - cached_tokens + draft.req.offset;
         let prefill_end = now + cfg.time_per_prompt_token * uncached;
         draft.phase = Phase::Prefilling { until: prefill_end };
@@ -266,7 +266,7 @@
             prefill_end,
             first_index: draft.req.offset,
             cached_tokens,
-            answer: draft.answer(&blocks),
+            answer: draft.answer(&cached_pieces),
             max_tokens: draft.req.max_tokens,
         });
         self.prefilling = Some(key);
@@ -274,13 +274,13 @@
     }
 
     fn next_change(&self) -> Option<Monotonic> {
-        let running = self.decoding.iter().chain(&self.prefilling);
-        running.filter_map(|key| self.drafts[*key].phase_end()).min()
+        let started = self.decoding.iter().chain(&self.prefilling);
+        started.filter_map(|key| self.drafts[*key].phase_end()).min()
     }
 
     fn remove(&mut self, key: DraftKey, cache: &mut Cache) -> Option<(DraftRequest, Schedule)> {
         let draft = self.drafts.remove(key)?;
-        for piece in &draft.req.pieces[..draft.pinned_blocks] {
+        for piece in &draft.req.pieces[..draft.pinned_pieces] {
             cache.unpin(piece);
         }
         self.waiting.retain(|_, other| *other != key);
@@ -319,11 +319,11 @@
         }
     }
 
-    /// Returns the expected answer, or a wrong one if a cache block is corrupt or `continued` is wrong.
-    fn answer(&self, blocks: &[Block]) -> Answer {
+    /// Returns the expected answer, or a wrong one if a cached piece is corrupt or `continued` is wrong.
+    fn answer(&self, cached_pieces: &[CachedPiece]) -> Answer {
         let expected = expected_answer(&self.req);
         let continues_answer = self.req.offset == 0 || self.req.continued == expected.text(self.req.offset);
-        if continues_answer && blocks.iter().all(|block| block.intact) {
+        if continues_answer && cached_pieces.iter().all(|cached| cached.intact) {
             expected
         } else {
             expected.corrupted()
@@ -346,20 +346,20 @@
         }
     }
 
-    fn pin_blocks(&mut self, blocks: &[Block], cache: &mut Cache, uses: &mut Vec<PieceUse>) {
-        for (piece, block) in self.req.pieces.iter().zip(blocks) {
+    fn pin_pieces(&mut self, cached_pieces: &[CachedPiece], cache: &mut Cache, uses: &mut Vec<PieceUse>) {
+        for (piece, cached) in self.req.pieces.iter().zip(cached_pieces) {
             cache.pin(piece);
             uses.push(PieceUse {
                 request_id: self.req.request_id,
                 piece: *piece,
                 workspace: self.req.workspace.clone(),
-                from_workspace: block.workspace.clone(),
+                from_workspace: cached.workspace.clone(),
                 weight_version: self.req.weight_version,
-                from_version: block.weight_version,
-                intact: block.intact,
+                from_version: cached.weight_version,
+                intact: cached.intact,
             });
         }
-        self.pinned_blocks = blocks.len();
+        self.pinned_pieces = cached_pieces.len();
     }
 }
 
--- a/components/standins/src/engine/cache.rs
+++ b/components/standins/src/engine/cache.rs
@@ -8,7 +8,7 @@
 
 /// A piece in an engine's memory.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Block {
+pub(crate) struct CachedPiece {
     /// Workspace of the request that computed it; `None` for an import.
     pub(crate) workspace: Option<WorkspaceId>,
     /// Weight version that computed it.
@@ -27,7 +27,7 @@
     /// Maximum number of pieces.
     capacity: usize,
     /// Pieces in memory.
-    blocks: HashMap<PieceId, Block>,
+    pieces: HashMap<PieceId, CachedPiece>,
     /// Pieces by the logical time of their last use.
     by_last_use: BTreeMap<u64, PieceId>,
     /// Logical time of the next use.
@@ -44,7 +44,7 @@
     pub(crate) fn new(capacity: u32, incarnation: u64) -> Self {
         Self {
             capacity: capacity as usize,
-            blocks: HashMap::new(),
+            pieces: HashMap::new(),
             by_last_use: BTreeMap::new(),
             clock: 0,
             events: VecDeque::new(),
@@ -53,33 +53,33 @@
         }
     }
 
-    /// Returns the blocks of the longest prefix of `pieces` that is in memory.
-    pub(crate) fn cached_prefix(&self, pieces: &[PieceId]) -> Vec<Block> {
+    /// Returns the cached pieces of the longest prefix of `pieces` that is in memory.
+    pub(crate) fn cached_prefix(&self, pieces: &[PieceId]) -> Vec<CachedPiece> {
         pieces
             .iter()
-            .map_while(|piece| self.blocks.get(piece).cloned())
+            .map_while(|piece| self.pieces.get(piece).cloned())
             .collect()
     }
 
-    pub(crate) fn get(&self, piece: &PieceId) -> Option<&Block> {
-        self.blocks.get(piece)
+    pub(crate) fn get(&self, piece: &PieceId) -> Option<&CachedPiece> {
+        self.pieces.get(piece)
     }
 
     /// Marks a piece as used now and protects it from eviction until it is unpinned.
     pub(crate) fn pin(&mut self, piece: &PieceId) {
-        let Some(block) = self.blocks.get_mut(piece) else {
+        let Some(cached) = self.pieces.get_mut(piece) else {
             return;
         };
-        self.by_last_use.remove(&block.last_use);
-        block.last_use = self.clock;
-        block.pins += 1;
+        self.by_last_use.remove(&cached.last_use);
+        cached.last_use = self.clock;
+        cached.pins += 1;
         self.by_last_use.insert(self.clock, *piece);
         self.clock += 1;
     }
 
     pub(crate) fn unpin(&mut self, piece: &PieceId) {
-        if let Some(block) = self.blocks.get_mut(piece) {
-            block.pins = block.pins.saturating_sub(1);
+        if let Some(cached) = self.pieces.get_mut(piece) {
+            cached.pins = cached.pins.saturating_sub(1);
         }
     }
 
@@ -93,17 +93,17 @@
         weight_version: WeightVersion,
         intact: bool,
     ) {
-        if self.blocks.contains_key(&piece) || !self.make_room(now) {
+        if self.pieces.contains_key(&piece) || !self.make_room(now) {
             return;
         }
-        let block = Block {
+        let cached = CachedPiece {
             workspace,
             weight_version,
             intact,
             last_use: self.clock,
             pins: 0,
         };
-        self.blocks.insert(piece, block);
+        self.pieces.insert(piece, cached);
         self.by_last_use.insert(self.clock, piece);
         self.clock += 1;
         self.publish(now, CacheEvent::Stored(piece));
@@ -112,9 +112,9 @@
     /// Evicts the pieces of a weight version that no draft uses.
     pub(crate) fn drop_version(&mut self, now: Monotonic, version: WeightVersion) {
         let unused: Vec<PieceId> = self
-            .blocks
+            .pieces
             .iter()
-            .filter(|(_, block)| block.weight_version == version && block.pins == 0)
+            .filter(|(_, cached)| cached.weight_version == version && cached.pins == 0)
             .map(|(piece, _)| *piece)
             .collect();
         for piece in unused {
@@ -123,10 +123,10 @@
     }
 
     fn make_room(&mut self, now: Monotonic) -> bool {
-        if self.blocks.len() < self.capacity {
+        if self.pieces.len() < self.capacity {
             return true;
         }
-        let is_unpinned = |piece: &&PieceId| self.blocks.get(*piece).is_some_and(|block| block.pins == 0);
+        let is_unpinned = |piece: &&PieceId| self.pieces.get(*piece).is_some_and(|cached| cached.pins == 0);
         let Some(piece) = self.by_last_use.values().find(is_unpinned).copied() else {
             return false;
         };
@@ -135,8 +135,8 @@
     }
 
     fn evict(&mut self, now: Monotonic, piece: PieceId) {
-        if let Some(block) = self.blocks.remove(&piece) {
-            self.by_last_use.remove(&block.last_use);
+        if let Some(cached) = self.pieces.remove(&piece) {
+            self.by_last_use.remove(&cached.last_use);
             self.publish(now, CacheEvent::Evicted(piece));
         }
     }
@@ -171,7 +171,7 @@
         CacheSnapshot {
             incarnation: self.incarnation,
             next: self.next_event,
-            pieces: self.blocks.keys().copied().collect(),
+            pieces: self.pieces.keys().copied().collect(),
         }
     }
 
--- a/components/standins/src/engine/transfer.rs
+++ b/components/standins/src/engine/transfer.rs
@@ -52,9 +52,9 @@
 
     /// Writes a piece to a store: first the content, then the manifest.
     pub(super) async fn export(&self, req: TransferRequest) -> Result<Response<Body>, StatusCode> {
-        let block = self.lock().cache.get(&req.piece).cloned();
-        let block = block.filter(|block| block.weight_version == req.weight_version && block.intact);
-        if block.is_none() {
+        let cached = self.lock().cache.get(&req.piece).cloned();
+        let cached = cached.filter(|cached| cached.weight_version == req.weight_version && cached.intact);
+        if cached.is_none() {
             return Err(StatusCode::NOT_FOUND);
         }
         let bytes = self.config().piece_bytes as usize;
--- a/components/standins/src/odds.rs
+++ b/components/standins/src/odds.rs
@@ -33,7 +33,7 @@
         Self { next: 0, share }
     }
 
-    /// Whether the fault affects this call; a certain call is counted down.
+    /// Whether the fault affects this call. Decrements `next` if it is above 0.
     pub(crate) fn applies(&mut self, rng: &mut ChaCha8Rng) -> bool {
         if self.next > 0 {
             self.next -= 1;
--- a/components/trial/src/script.rs
+++ b/components/trial/src/script.rs
@@ -25,7 +25,7 @@
     /// Puts a release note into force.
     AcceptNote,
     /// Marks an engine as leaving in the host list.
-    LeaveEngine,
+    MarkEngineLeaving,
     /// Kills an entry host without notice and removes it from the host list.
     KillEntry,
     /// Drains an entry host and removes it from the host list.
@@ -79,7 +79,7 @@
             (at(0.25), Step::KillEngine),
             (at(0.25) + DELIST_DELAY, Step::DelistEngine),
             (at(0.4), Step::AcceptNote),
-            (at(0.5), Step::LeaveEngine),
+            (at(0.5), Step::MarkEngineLeaving),
             (at(0.6), Step::KillEntry),
             (at(DRAIN_TIME_SHARE), Step::DrainEntry),
         ];
@@ -108,7 +108,7 @@
                 deployment.declare(&next)?;
                 script_record.notes.push(accepted_now(&next));
             }
-            Step::LeaveEngine => {
+            Step::MarkEngineLeaving => {
                 deployment.mark_leaving("engine-3", self.layout, self.preset);
                 script_record.leaves.push(Leave {
                     target: "engine-3".into(),
--- a/specs/src/orders.rs
+++ b/specs/src/orders.rs
@@ -159,7 +159,7 @@
     AdvanceClock,
     /// A host records the loads that have ended, plans the next load and steps its lease; a read is answered
     /// immediately.
-    Tick(usize),
+    StepHost(usize),
     /// The table service applies a host's write.
     ApplyWrite(usize),
     /// The table service's answer arrives.
@@ -245,7 +245,7 @@
         }
     }
 
-    fn tick(&self, world: &mut OrdersWorld, h: usize) -> Option<()> {
+    fn step_host(&self, world: &mut OrdersWorld, h: usize) -> Option<()> {
         if world.hosts[h].call.is_some() {
             return None;
         }
@@ -321,7 +321,7 @@
     fn apply(&self, world: &mut OrdersWorld, action: OrdersAction) -> Option<()> {
         match action {
             OrdersAction::AdvanceClock => world.advance_clock(self.ticks),
-            OrdersAction::Tick(h) => self.tick(world, h),
+            OrdersAction::StepHost(h) => self.step_host(world, h),
             OrdersAction::ApplyWrite(h) => world.apply_write(h),
             OrdersAction::Answer(h) => self.answer(world, h),
             OrdersAction::LoseAnswer(h) => self.lose_answer(world, h),
@@ -394,7 +394,7 @@
     ];
     for h in 0..HOSTS {
         actions.extend([
-            OrdersAction::Tick(h),
+            OrdersAction::StepHost(h),
             OrdersAction::ApplyWrite(h),
             OrdersAction::Answer(h),
             OrdersAction::Send(h),
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -151,13 +151,14 @@
         }
     }
 
-    /// Runs each step on its own thread, because steps overlap, and keeps the entries of engines up to date.
+    /// Runs each step on its own thread, because steps overlap, and keeps the engines' registration
+    /// records in the store up to date.
     fn run_steps(&self, steps: &[Step]) {
         let begin = Instant::now();
         let is_done = AtomicBool::new(false);
         let host_locks: Vec<Mutex<()>> = self.hosts.iter().map(|_| Mutex::default()).collect();
         std::thread::scope(|scope| {
-            scope.spawn(|| self.update_entries(&is_done));
+            scope.spawn(|| self.update_registrations(&is_done));
             std::thread::scope(|threads| {
                 for step in steps {
                     let host_locks = &host_locks;
@@ -169,9 +170,9 @@
         });
     }
 
-    /// Rewrites the entries of engines whose weights have changed, as real engines do, and all entries at the
-    /// end.
-    fn update_entries(&self, is_done: &AtomicBool) {
+    /// Rewrites the registration records in the store of engines whose weights have changed, as real engines
+    /// do, and all registration records at the end.
+    fn update_registrations(&self, is_done: &AtomicBool) {
         let mut registered: Vec<u64> = self
             .endpoints
             .iter()
